--- a/src/auburnswitch/daemon/parts.py
+++ b/src/auburnswitch/daemon/parts.py
@@ -20,15 +20,15 @@
 )
 from auburnswitch.daemon.status import DaemonStatus
 from auburnswitch.endpoints.client import EndpointClient
-from auburnswitch.endpoints.fencing import FencingNumbers
+from auburnswitch.endpoints.endpoint_manager import EndpointManager
+from auburnswitch.endpoints.engine_reconciler import EngineReconciler
+from auburnswitch.endpoints.fencing import FencingNumberAllocator
 from auburnswitch.endpoints.handover import Handover
-from auburnswitch.endpoints.instances import InstanceReader
-from auburnswitch.endpoints.monitor import LoadMonitor
-from auburnswitch.endpoints.orders import OrderKeeper
+from auburnswitch.endpoints.instance_list import InstanceListReader
+from auburnswitch.endpoints.load_monitor import LoadMonitor
+from auburnswitch.endpoints.model_load_limiter import ModelLoadLimiter
 from auburnswitch.endpoints.orphans import OrphanCollector
-from auburnswitch.endpoints.owner import OwnerTable
 from auburnswitch.endpoints.reservations import ReservationClient
-from auburnswitch.endpoints.weights import LoadAdmission
 from auburnswitch.members.claim_forwarder import ClaimForwarder
 from auburnswitch.members.departures import Departures
 from auburnswitch.members.isolation import Isolation
@@ -80,7 +80,7 @@
         member: This incarnation.
         state: The configuration in force.
         view: What is known of the other daemons.
-        owner_table: Ledgers of the owned endpoints.
+        endpoint_manager: Ledgers of the owned endpoints.
         reservations: Reservations held for callers.
         invariants: Invariants checked so far.
         callers: Listener for callers, once it is open.
@@ -153,9 +153,9 @@
         """Registers the gauges that are read at each collection."""
         gauges = {
             "requests_in_flight": lambda: self.in_flight.count,
-            "requests_queued": self.owner_table.count_waiting,
+            "requests_queued": self.endpoint_manager.count_waiting,
             "reservations_held": lambda: len(self.reservations.held),
-            "endpoints_owned": lambda: len(self.owner_table.owned()),
+            "endpoints_owned": lambda: len(self.endpoint_manager.owned()),
             "store_calls_made": lambda: self.store.calls,
         }
         for name, read in gauges.items():
@@ -182,7 +182,7 @@
         self.membership.register(self.peer_server)
 
     def _build_endpoints(self, session: aiohttp.ClientSession) -> None:
-        self.owner_table = OwnerTable(
+        self.endpoint_manager = EndpointManager(
             settings=self.settings,
             view=self.view,
             state=self.state,
@@ -190,47 +190,49 @@
             rights=self.strict_rights,
         )
         self.reservations = ReservationClient(
-            owner_table=self.owner_table, membership=self.membership
+            endpoint_manager=self.endpoint_manager, membership=self.membership
         )
         self.reservations.register(self.peer_server)
         self.endpoint_client = EndpointClient(
             session=session, settings=self.settings.endpoints
         )
-        self.orders = OrderKeeper(
-            owner_table=self.owner_table,
+        self.orders = EngineReconciler(
+            endpoint_manager=self.endpoint_manager,
             client=self.endpoint_client,
-            numbers=FencingNumbers(store=self.store, member_id=self.member.id),
-            admission=LoadAdmission(
+            fencing_numbers=FencingNumberAllocator(
+                store=self.store, member_id=self.member.id
+            ),
+            load_limiter=ModelLoadLimiter(
                 settings=self.settings.endpoints,
                 session=session,
                 count_daemons=lambda: len(self.view.live_ids()),
             ),
             tasks=self.tasks,
         )
-        self.instances = InstanceReader(
-            store=self.store, owner_table=self.owner_table
+        self.instances = InstanceListReader(
+            store=self.store, endpoint_manager=self.endpoint_manager
         )
         self.membership.heartbeat_sources += [
-            self.owner_table.fill_heartbeat,
+            self.endpoint_manager.fill_heartbeat,
             self.reservations.fill_heartbeat,
             self.instances.fill_heartbeat,
         ]
         self.membership.heartbeat_listeners += [
-            self.owner_table.note_heartbeat,
+            self.endpoint_manager.note_heartbeat,
             self.instances.note_heartbeat,
         ]
-        handover = Handover(owner_table=self.owner_table)
-        self.membership.handover_sources.append(handover.fill)
-        self.membership.handover_listeners.append(handover.take)
+        handover = Handover(endpoint_manager=self.endpoint_manager)
+        self.membership.handover_sources.append(handover.fill_request)
+        self.membership.handover_listeners.append(handover.apply_request)
         self.orphans = OrphanCollector(
-            owner_table=self.owner_table,
+            endpoint_manager=self.endpoint_manager,
             reservations=self.reservations,
             client=self.endpoint_client,
         )
         self.orphans.register(self.peer_server)
         self.monitor = LoadMonitor(
             settings=self.settings,
-            owner_table=self.owner_table,
+            endpoint_manager=self.endpoint_manager,
             reservations=self.reservations,
             orphans=self.orphans,
             session=session,
@@ -249,11 +251,11 @@
         )
         self.membership.heartbeat_sources.append(limits.fill_heartbeat)
         self.membership.heartbeat_listeners.append(limits.note_heartbeat)
-        self.owner_table.is_struck = self.strikes.is_struck
+        self.endpoint_manager.is_struck = self.strikes.is_struck
         self.membership.heartbeat_sources.append(self.strikes.fill_heartbeat)
         self.membership.heartbeat_listeners.append(self.strikes.note_heartbeat)
         placer = Placer(
-            owner_table=self.owner_table,
+            endpoint_manager=self.endpoint_manager,
             reservations=self.reservations,
             policy=make_policy(self.settings.routing),
             strikes=self.strikes,
@@ -316,7 +318,7 @@
             state=self.state,
             invariants=self.invariants,
             view=self.view,
-            owner_table=self.owner_table,
+            endpoint_manager=self.endpoint_manager,
             in_flight=self.in_flight,
             watcher=self.watcher,
             store=self.store,
@@ -325,7 +327,7 @@
         self.operator_app = OperatorApp(
             keys=OperatorKeys(text=read_secret(key_file) if key_file else b""),
             tickets=self.tickets,
-            owner_table=self.owner_table,
+            endpoint_manager=self.endpoint_manager,
             metrics=self.metrics,
             clock=self.clock,
             refuse_new=self.refuse_new,
--- a/src/auburnswitch/daemon/status.py
+++ b/src/auburnswitch/daemon/status.py
@@ -9,7 +9,7 @@
 
     from auburnswitch.callers.in_flight import InFlightCounter
     from auburnswitch.configuration.state import ConfigState
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.members.view import MemberView
     from auburnswitch.object_store.store import ObjectStore
     from auburnswitch.object_store.watcher import StoreWatcher
@@ -27,17 +27,17 @@
         state: The configuration in force.
         invariants: Broken promises.
         view: The members.
-        owner_table: The owned endpoints.
+        endpoint_manager: The owned endpoints.
         in_flight: Requests under way.
         watcher: Tells whether the store answers.
         store: Counts its calls.
     """
 
     __slots__ = (
+        "endpoint_manager",
         "in_flight",
         "invariants",
         "member",
-        "owner_table",
         "refuse_new",
         "state",
         "store",
@@ -53,7 +53,7 @@
         state: ConfigState,
         invariants: Invariants,
         view: MemberView,
-        owner_table: OwnerTable,
+        endpoint_manager: EndpointManager,
         in_flight: InFlightCounter,
         watcher: StoreWatcher,
         store: ObjectStore,
@@ -63,7 +63,7 @@
         self.state = state
         self.invariants = invariants
         self.view = view
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.in_flight = in_flight
         self.watcher = watcher
         self.store = store
@@ -99,7 +99,7 @@
             "strict_rights": self.view.has_quorum(),
             "roster": self.view.roster_ids(),
             "live": self.view.live_ids(),
-            "owned_endpoints": self.owner_table.owned(),
+            "owned_endpoints": self.endpoint_manager.owned(),
             "in_flight": self.in_flight.count,
             "store_available": self.watcher.available,
             "store_calls": self.store.calls,
--- a/src/auburnswitch/endpoints/admission.py
+++ b/src/auburnswitch/endpoints/admission.py
@@ -13,7 +13,7 @@
     from auburnswitch.schema.settings import RoutingSettings
 
 
-def has_room(
+def has_capacity(
     ledger: EndpointLedger, request: ReserveRequest, settings: RoutingSettings
 ) -> bool:
     """Tells whether a request fits beside what has been granted."""
@@ -56,7 +56,7 @@
     return not prefill or prefill + request.prompt_tokens <= bound
 
 
-def can_ever_hold(ledger: EndpointLedger, request: ReserveRequest) -> bool:
+def fits_when_idle(ledger: EndpointLedger, request: ReserveRequest) -> bool:
     """Tells whether a request fits when nothing else runs."""
     return needed_tokens(request) <= ledger.spec.memory_tokens
 
@@ -71,7 +71,7 @@
     rate = prefill_rate(ledger)
     ledger.backlog.update(ledger.reservations, rate)
     wait_s = ledger.backlog.wait_s(length, rate)
-    if ledger.backlog.delays_by_chunk(length):
+    if ledger.backlog.must_wait_for_chunk(length):
         wait_s += CHUNK_DELAY_S
     return wait_s
 
@@ -81,7 +81,7 @@
     return float(max(1, ledger.spec.prefill_tokens_per_second))
 
 
-def late_by_s(
+def deadline_overrun_s(
     ledger: EndpointLedger, request: ReserveRequest, wait_s: float
 ) -> float:
     """Returns how far past its deadline the first token would come."""
@@ -90,9 +90,9 @@
 
 
 __all__ = [
-    "can_ever_hold",
-    "has_room",
-    "late_by_s",
+    "fits_when_idle",
+    "has_capacity",
+    "deadline_overrun_s",
     "needed_tokens",
     "predicted_wait_s",
     "prefill_rate",
--- a/src/auburnswitch/endpoints/granting.py
+++ b/src/auburnswitch/endpoints/admission_controller.py
@@ -5,11 +5,11 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.endpoints.admission import (
-    can_ever_hold,
-    has_room,
+    fits_when_idle,
+    has_capacity,
     predicted_wait_s,
 )
-from auburnswitch.endpoints.phases import CLOSED_PHASES
+from auburnswitch.endpoints.phases import UNSCHEDULABLE_PHASES
 from auburnswitch.observe.invariants import Invariant
 from auburnswitch.schema.peers import EndpointPhase, ReserveReply
 from auburnswitch.schema.results import ResultCode
@@ -17,10 +17,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from auburnswitch.endpoints.closing import Closings
+    from auburnswitch.endpoints.cold_endpoint_gate import ColdEndpointGate
     from auburnswitch.endpoints.ledger import EndpointLedger
     from auburnswitch.endpoints.rights import StrictOwnership
-    from auburnswitch.endpoints.survey import StrictGate
+    from auburnswitch.endpoints.unschedulable import UnschedulableEndpoints
     from auburnswitch.members.view import MemberView
     from auburnswitch.observe.invariants import Invariants
     from auburnswitch.schema.peers import ReserveRequest
@@ -29,7 +29,7 @@
 MIN_RETRY_AFTER_S: Final = 1.0
 
 
-class Granter:
+class AdmissionController:
     """Grants or refuses; what it can do neither with has to wait.
 
     Attributes:
@@ -37,27 +37,27 @@
         routing: Bounds of queues and waits.
         view: The members, this daemon among them.
         owns: Tells whether this daemon owns an endpoint.
-        is_closed: Tells whether an endpoint receives no new work.
+        is_unschedulable: Tells whether an endpoint receives no new work.
         is_struck: Tells by a fingerprint whether a request was in flight at a
             crash.
-        closings: Endpoints that receive no new work, with the reason.
-        gate: Tells whether cold endpoints may be used.
+        unschedulable: Endpoints that receive no new work, with the reason.
+        cold_gate: Tells whether cold endpoints may be used.
         rights: Tells whether this daemon is a strict owner.
         invariants: Checks each grant.
         next_id: Number of the newest reservation.
     """
 
     __slots__ = (
-        "closings",
-        "gate",
+        "cold_gate",
         "invariants",
-        "is_closed",
         "is_struck",
+        "is_unschedulable",
         "ledgers",
         "next_id",
         "owns",
         "rights",
         "routing",
+        "unschedulable",
         "view",
     )
 
@@ -68,10 +68,10 @@
         routing: RoutingSettings,
         view: MemberView,
         owns: Callable[[str], bool],
-        is_closed: Callable[[str], bool],
+        is_unschedulable: Callable[[str], bool],
         is_struck: Callable[[str], bool],
-        closings: Closings,
-        gate: StrictGate,
+        unschedulable: UnschedulableEndpoints,
+        cold_gate: ColdEndpointGate,
         rights: StrictOwnership,
         invariants: Invariants,
     ) -> None:
@@ -79,10 +79,10 @@
         self.routing = routing
         self.view = view
         self.owns = owns
-        self.is_closed = is_closed
+        self.is_unschedulable = is_unschedulable
         self.is_struck = is_struck
-        self.closings = closings
-        self.gate = gate
+        self.unschedulable = unschedulable
+        self.cold_gate = cold_gate
         self.rights = rights
         self.invariants = invariants
         self.next_id = 0
@@ -96,16 +96,16 @@
             return ReserveReply(code=ResultCode.NOT_OWNER)
         if refused := self.refusal(ledger, request):
             return ReserveReply(code=refused, retry_after_s=MIN_RETRY_AFTER_S)
-        if not ledger.bears(request):
+        if not ledger.admits(request):
             return None
-        if not has_room(ledger, request, self.routing):
+        if not has_capacity(ledger, request, self.routing):
             return None
         if self._meets_struck(ledger, request):
             return None
         self.next_id += 1
         reservation_id = f"{self.view.me.id}/{self.next_id}"
         reservation = ledger.grant(request, member_id, reservation_id)
-        reservation.expected_s = predicted_wait_s(
+        reservation.expected_first_token_s = predicted_wait_s(
             ledger, reservation.length_class
         )
         self._check_grant(ledger)
@@ -126,27 +126,30 @@
         self, ledger: EndpointLedger, request: ReserveRequest
     ) -> ResultCode | None:
         """Returns why a request can't be granted by waiting, or None."""
-        if self.is_closed(ledger.name) or ledger.phase in CLOSED_PHASES:
+        if (
+            self.is_unschedulable(ledger.name)
+            or ledger.phase in UNSCHEDULABLE_PHASES
+        ):
             return ResultCode.NO_ENDPOINT
-        if not can_ever_hold(ledger, request):
+        if not fits_when_idle(ledger, request):
             return ResultCode.PROMPT_TOO_LONG
         if ledger.is_cold and request.hold:
             return ResultCode.NO_ENDPOINT
-        if ledger.is_cold and not self.gate.may_use_cold(ledger):
+        if ledger.is_cold and not self.cold_gate.may_use_cold(ledger):
             return ResultCode.OWNERSHIP_PENDING
-        if not ledger.can_bear_alone(request):
+        if not ledger.admits_when_idle(request):
             return ResultCode.ENDPOINT_COLD
         return None
 
     def _check_grant(self, ledger: EndpointLedger) -> None:
-        bounds = ledger.bounds
+        limits = ledger.limits
         holds = not ledger.is_cold or (
-            ledger.running <= bounds.running
-            and ledger.prompt_tokens <= bounds.prompt_tokens
+            ledger.running <= limits.running
+            and ledger.prompt_tokens <= limits.prompt_tokens
             and self.rights.may_use(ledger.name)
         )
         self.invariants.check(holds, Invariant.COLD_BOUND, endpoint=ledger.name)
-        closed = self.closings.phase(ledger.name)
+        closed = self.unschedulable.phase(ledger.name)
         self.invariants.check(
             closed is not EndpointPhase.OUT,
             Invariant.ZONE_OUT,
@@ -159,4 +162,4 @@
         )
 
 
-__all__ = ["MIN_RETRY_AFTER_S", "Granter"]
+__all__ = ["MIN_RETRY_AFTER_S", "AdmissionController"]
--- a/src/auburnswitch/endpoints/backlog.py
+++ b/src/auburnswitch/endpoints/backlog.py
@@ -14,7 +14,7 @@
     from auburnswitch.schema.peers import LengthClass
 
 CHUNK_DELAY_S: Final = 0.05  # until a prompt in prefill gives way
-OVERDUE_S: Final = 0.02
+MIN_REMAINING_S: Final = 0.02
 
 
 @dataclass(slots=True, kw_only=True)
@@ -24,12 +24,12 @@
     Attributes:
         length: Its length class, which is its priority at the endpoint.
         order: Its place among prompts of the class.
-        left: Tokens that are believed to be left.
+        remaining_tokens: Tokens that are believed to be left.
     """
 
     length: LengthClass
     order: int
-    left: float
+    remaining_tokens: float
 
 
 class PrefillBacklog:
@@ -65,11 +65,13 @@
                 continue
             self._advance(reservation.granted_at, rate)
             self.granted += 1
-            left = float(reservation.prefill_tokens)
-            if self.delays_by_chunk(reservation.length_class):
-                left += CHUNK_DELAY_S * rate
+            remaining_tokens = float(reservation.prefill_tokens)
+            if self.must_wait_for_chunk(reservation.length_class):
+                remaining_tokens += CHUNK_DELAY_S * rate
             self.items[reservation.id] = PrefillItem(
-                length=reservation.length_class, order=self.granted, left=left
+                length=reservation.length_class,
+                order=self.granted,
+                remaining_tokens=remaining_tokens,
             )
         self._advance(monotonic_s(), rate)
         for held_id in list(self.items):
@@ -83,25 +85,25 @@
         A prompt without its first token is never believed to be done.
         """
         return sum(
-            max(i.left / rate, OVERDUE_S)
+            max(i.remaining_tokens / rate, MIN_REMAINING_S)
             for i in self.items.values()
             if i.length <= length
         )
 
-    def delays_by_chunk(self, length: LengthClass) -> bool:
+    def must_wait_for_chunk(self, length: LengthClass) -> bool:
         """Tells whether a less urgent prompt must give way to a new one."""
         items = self.items.values()
         if any(item.length <= length for item in items):
             return False  # one of them is in prefill, or goes first
-        return any(item.left for item in items)
+        return any(item.remaining_tokens for item in items)
 
     def _advance(self, until: float, rate: float) -> None:
         tokens = max(0.0, until - self.modelled_at) * rate
         self.modelled_at = max(self.modelled_at, until)
         ordered = sorted(self.items.values(), key=lambda i: (i.length, i.order))
         for item in ordered:
-            done = min(tokens, item.left)
-            item.left -= done
+            done = min(tokens, item.remaining_tokens)
+            item.remaining_tokens -= done
             tokens -= done
 
 
--- a/src/auburnswitch/endpoints/client.py
+++ b/src/auburnswitch/endpoints/client.py
@@ -16,7 +16,7 @@
     from auburnswitch.schema.objects import Endpoint
     from auburnswitch.schema.settings import EndpointsSettings
 
-    Guard = Callable[[], None]
+    SendGuard = Callable[[], None]
 
 _DATA: Final = b"data: "
 _DONE: Final = b"[DONE]"
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Frame:
+class StreamFrame:
     """One frame of an engine's stream.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class ForeignFrame:
+class MisroutedFrame:
     """A frame that belongs to another request or attempt."""
 
     request_id: str
@@ -125,7 +125,7 @@
         method: str,
         path: str,
         *,
-        guard: Guard | None = None,
+        guard: SendGuard | None = None,
         **options: Any,
     ) -> AsyncIterator[aiohttp.ClientResponse]:
         """Sends a request and yields the response.
@@ -175,8 +175,8 @@
         path: str,
         body: Any,
         attempt: Attempt,
-        guard: Guard | None = None,
-    ) -> AsyncIterator[list[Frame | ForeignFrame]]:
+        guard: SendGuard | None = None,
+    ) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
         """Runs a completion and yields its frames as they arrive.
 
         Args:
@@ -199,7 +199,7 @@
 
     async def resume(
         self, spec: Endpoint, attempt: Attempt, sequence: int
-    ) -> AsyncIterator[list[Frame | ForeignFrame]]:
+    ) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
         """Streams an attempt again from a sequence number on.
 
         Raises:
@@ -226,7 +226,7 @@
                 return str((await response.json())["boot_id"])
         return ""
 
-    async def free_caches(self, spec: Endpoint, attempt: Attempt) -> bool:
+    async def free_kv_caches(self, spec: Endpoint, attempt: Attempt) -> bool:
         """Frees the KV caches of an attempt; returns whether none is left."""
         with contextlib.suppress(
             EndpointFailureError, TimeoutError, ValueError, LookupError
@@ -279,7 +279,7 @@
 
 async def _read_frames(
     response: aiohttp.ClientResponse, attempt: Attempt
-) -> AsyncIterator[list[Frame | ForeignFrame]]:
+) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
     rest = b""
     while chunk := await response.content.readany():
         lines = (rest + chunk).split(b"\n")
@@ -302,19 +302,23 @@
     )
 
 
-def _parse_frame(payload: bytes, attempt: Attempt) -> Frame | ForeignFrame:
+def _parse_frame(
+    payload: bytes, attempt: Attempt
+) -> StreamFrame | MisroutedFrame:
     try:
         data = json.loads(payload)
         if (
             data["id"] != attempt.request_id
             or data["attempt"] != attempt.number
         ):
-            return ForeignFrame(request_id=data["id"], attempt=data["attempt"])
+            return MisroutedFrame(
+                request_id=data["id"], attempt=data["attempt"]
+            )
         choice = data["choices"][0]
         text = choice.get("text")
         if text is None:
             text = (choice.get("delta") or {}).get("content") or ""
-        return Frame(
+        return StreamFrame(
             sequence=data["sequence"],
             text=text,
             finish_reason=choice.get("finish_reason") or "",
@@ -332,6 +336,6 @@
     "Attempt",
     "EndpointClient",
     "EndpointFailureError",
-    "ForeignFrame",
-    "Frame",
+    "MisroutedFrame",
+    "StreamFrame",
 ]
--- a/src/auburnswitch/endpoints/survey.py
+++ b/src/auburnswitch/endpoints/cold_endpoint_gate.py
@@ -12,7 +12,7 @@
     from auburnswitch.endpoints.rights import StrictOwnership
 
 
-class StrictGate:
+class ColdEndpointGate:
     """Lets the strict owner use what it has surveyed.
 
     Strict rights begin once every earlier grant has been used or has expired.
@@ -32,13 +32,13 @@
         """Tells whether work may be granted on a cold endpoint now."""
         if ledger.phase is EndpointPhase.UNKNOWN:
             return False
-        return self.note_rights(ledger) and ledger.is_surveyed
+        return self.update_strict_since(ledger) and ledger.is_work_listed
 
-    def needs_survey(self, ledger: EndpointLedger) -> bool:
+    def needs_work_listing(self, ledger: EndpointLedger) -> bool:
         """Tells whether the endpoint's work must be listed first."""
-        return self.note_rights(ledger) and not ledger.is_surveyed
+        return self.update_strict_since(ledger) and not ledger.is_work_listed
 
-    def note_rights(self, ledger: EndpointLedger) -> bool:
+    def update_strict_since(self, ledger: EndpointLedger) -> bool:
         """Notes when strict rights begin and end; tells whether they last."""
         if not self.rights.may_use(ledger.name):
             ledger.strict_since = None
@@ -48,4 +48,4 @@
         return True
 
 
-__all__ = ["StrictGate"]
+__all__ = ["ColdEndpointGate"]
--- a/src/auburnswitch/endpoints/owner.py
+++ b/src/auburnswitch/endpoints/endpoint_manager.py
@@ -6,19 +6,22 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.admission import (
-    late_by_s,
+    deadline_overrun_s,
     predicted_wait_s,
     prefill_rate,
 )
-from auburnswitch.endpoints.closing import Closings
-from auburnswitch.endpoints.granting import MIN_RETRY_AFTER_S, Granter
-from auburnswitch.endpoints.hints import HintBook
+from auburnswitch.endpoints.admission_controller import (
+    MIN_RETRY_AFTER_S,
+    AdmissionController,
+)
+from auburnswitch.endpoints.cold_endpoint_gate import ColdEndpointGate
+from auburnswitch.endpoints.hints import HintCache
 from auburnswitch.endpoints.ledger import EndpointLedger
-from auburnswitch.endpoints.ownership import OwnerMap
+from auburnswitch.endpoints.owner_map import OwnerMap
+from auburnswitch.endpoints.phase_transitions import PhaseTransitions
 from auburnswitch.endpoints.queue import ReservationQueue
-from auburnswitch.endpoints.rebuild import Rebuilder
-from auburnswitch.endpoints.survey import StrictGate
-from auburnswitch.endpoints.transitions import Transitions
+from auburnswitch.endpoints.reservation_reconciler import ReservationReconciler
+from auburnswitch.endpoints.unschedulable import UnschedulableEndpoints
 from auburnswitch.schema.objects import ServiceKind
 from auburnswitch.schema.peers import (
     EndpointHint,
@@ -35,7 +38,7 @@
     from collections.abc import Callable
 
     from auburnswitch.configuration.state import ConfigState
-    from auburnswitch.endpoints.load import LoadReport
+    from auburnswitch.endpoints.load_report import LoadReport
     from auburnswitch.endpoints.rights import StrictOwnership
     from auburnswitch.members.view import MemberView
     from auburnswitch.observe.invariants import Invariants
@@ -46,40 +49,40 @@
 _NEVER: Final = float("-inf")
 
 
-class OwnerTable:
+class EndpointManager:
     """The ledgers of this daemon's endpoints.
 
     Attributes:
         is_struck: Tells by a fingerprint whether a request was in flight at a
             crash.
         rights: Tells whether this daemon is a strict owner.
-        gate: Tells whether cold endpoints may be used.
-        granter: Decides whether a request gets room.
+        cold_gate: Tells whether cold endpoints may be used.
+        admission_controller: Decides whether a request gets room.
         owners: Owner of each endpoint by the live view.
-        closings: Endpoints that receive no new work.
+        unschedulable: Endpoints that receive no new work.
         hints: Newest hint of each endpoint from its owner.
         ledgers: Ledger by endpoint name; made on first use.
         queues: Waiting requests by endpoint name.
-        transitions: Changes the phases of the ledgers.
-        rebuilder: Keeps the ledgers in step with the holders' reports.
+        phase_transitions: Changes the phases of the ledgers.
+        reservation_reconciler: Keeps the ledgers in step with the holders' reports.
     """
 
     __slots__ = (
-        "closings",
-        "gate",
-        "granter",
+        "admission_controller",
+        "cold_gate",
         "hint_batch",
         "hints",
         "invariants",
         "is_struck",
         "ledgers",
         "owners",
+        "phase_transitions",
         "queues",
-        "rebuilder",
+        "reservation_reconciler",
         "rights",
         "settings",
         "state",
-        "transitions",
+        "unschedulable",
         "view",
     )
 
@@ -97,33 +100,33 @@
         self.state = state
         self.invariants = invariants
         self.rights = rights
-        self.gate = StrictGate(rights=rights)
+        self.cold_gate = ColdEndpointGate(rights=rights)
         self.owners = OwnerMap(view=view, state=state)
-        self.closings = Closings(state=state)
-        self.hints = HintBook()
+        self.unschedulable = UnschedulableEndpoints(state=state)
+        self.hints = HintCache()
         self.ledgers: dict[str, EndpointLedger] = {}
         self.queues: dict[str, ReservationQueue] = {}
         self.hint_batch: tuple[float, list[EndpointHint]] = (_NEVER, [])
         self.is_struck: Callable[[str], bool] = lambda _: False
-        self.granter = Granter(
+        self.admission_controller = AdmissionController(
             ledgers=self.ledgers,
             routing=settings.routing,
             view=view,
             owns=self.owns,
-            is_closed=self.is_closed,
+            is_unschedulable=self.is_unschedulable,
             is_struck=lambda fingerprint: self.is_struck(fingerprint),
-            closings=self.closings,
-            gate=self.gate,
+            unschedulable=self.unschedulable,
+            cold_gate=self.cold_gate,
             rights=rights,
             invariants=invariants,
         )
-        state.listeners.append(self.note_state)
-        self.transitions = Transitions(
+        state.listeners.append(self.on_config_change)
+        self.phase_transitions = PhaseTransitions(
             settings=settings.endpoints,
             hints=self.hints,
-            closings=self.closings,
+            unschedulable=self.unschedulable,
         )
-        self.rebuilder = Rebuilder(
+        self.reservation_reconciler = ReservationReconciler(
             settings=settings, view=view, ledgers=self.ledgers, wake=self.wake
         )
 
@@ -150,7 +153,7 @@
             ledger = EndpointLedger(name=endpoint, spec=spec)
             self.ledgers[endpoint] = ledger
             self.queues[endpoint] = ReservationQueue(
-                try_reserve=self.granter.try_reserve,
+                try_reserve=self.admission_controller.try_reserve,
                 aging_s=self.settings.routing.aging_s,
             )
         ledger.spec = spec
@@ -162,13 +165,13 @@
         if ledger is None:
             return
         if ledger.phase is not EndpointPhase.UNKNOWN:
-            self.hints.note(self.hint_of(ledger))
+            self.hints.update(self.build_hint(ledger))
         self.wake(endpoint)
         del self.queues[endpoint]
 
-    def is_closed(self, endpoint: str) -> bool:
+    def is_unschedulable(self, endpoint: str) -> bool:
         """Tells whether the endpoint may receive no new work."""
-        return self.closings.phase(endpoint) is not None
+        return self.unschedulable.phase(endpoint) is not None
 
     async def reserve(
         self, request: ReserveRequest, member_id: str
@@ -180,7 +183,9 @@
             return ReserveReply(code=ResultCode.NOT_OWNER)
         wait_s = self._wait_s(ledger, LengthClass(request.length_class))
         refused = _refuse_wait(ledger, request, wait_s)
-        if refused is not None and not self.granter.refusal(ledger, request):
+        if refused is not None and not self.admission_controller.refusal(
+            ledger, request
+        ):
             refused.hints = self._hints_for(request)
             return refused
         reply: ReserveReply | None = None
@@ -190,7 +195,7 @@
             )
             reply.hints = self._hints_for(request)
         finally:
-            granted = ledger.of_request(request)
+            granted = ledger.find_by_request(request)
             if granted is not None and (
                 reply is None or reply.code != ResultCode.OK
             ):
@@ -206,12 +211,12 @@
         if ledger is None:
             return ResultCode.OK
         known = ledger.reservations.get(request.reservation_id)
-        if known is not None and known.lingering:
+        if known is not None and known.is_released:
             return ResultCode.OK  # released before
         if known is not None and request.used:
-            self.transitions.note_outcome(ledger, known, request)
+            self.phase_transitions.note_outcome(ledger, known, request)
         if known is not None and request.may_still_run:
-            known.lingering_since = monotonic_s()
+            known.released_at = monotonic_s()
         else:
             ledger.end(request.reservation_id)
         self.wake(request.endpoint)
@@ -228,7 +233,9 @@
         if reservation is None:
             return
         reservation.prefill_tokens = 0
-        self.transitions.note_first_token(ledger, reservation, first_token_s)
+        self.phase_transitions.note_first_token(
+            ledger, reservation, first_token_s
+        )
         self.wake(endpoint)
 
     def note_load(
@@ -244,26 +251,28 @@
         ledger = self.ledger(endpoint)
         if ledger is None:
             return
-        self.closings.note_engine(endpoint, leaving=report.leaving)
-        self.transitions.note_load(ledger, report)
-        self.rebuilder.note_load(ledger, report)
+        self.unschedulable.note_engine_report(endpoint, leaving=report.leaving)
+        self.phase_transitions.note_load(ledger, report)
+        self.reservation_reconciler.note_load(ledger, report)
         service = self.state.services.get(ledger.spec.service)
         if service is not None and service.kind == ServiceKind.PLAIN:
             # A plain service lists no work; its load report must do.
-            ledger.listed_at = asked_at - self.settings.endpoints.load_lag_s
-        self.gate.note_rights(ledger)
+            ledger.work_listed_at = (
+                asked_at - self.settings.endpoints.load_lag_s
+            )
+        self.cold_gate.update_strict_since(ledger)
         self.wake(endpoint)
 
-    def note_reloaded(self, ledger: EndpointLedger) -> None:
+    def on_model_load_ordered(self, ledger: EndpointLedger) -> None:
         """Takes note that an engine was told to load a model."""
-        self.transitions.note_closed(ledger)
+        self.phase_transitions.mark_cold(ledger)
         self.wake(ledger.name)
 
     def note_unreachable(self, endpoint: str) -> None:
         """Takes note of a load report that could not be read."""
         ledger = self.ledger(endpoint)
         if ledger is not None:
-            self.transitions.note_unreachable(ledger)
+            self.phase_transitions.note_unreachable(ledger)
             self.wake(endpoint)
 
     def fill_heartbeat(self, heartbeat: Heartbeat, _: str) -> None:
@@ -271,43 +280,45 @@
         made_at, hints = self.hint_batch
         now = monotonic_s()
         if now >= made_at + HINT_BATCH_S:
-            hints = [self.hint(name) for name in self.owned()]
+            hints = [self.local_hint(name) for name in self.owned()]
             self.hint_batch = (now, hints)
         heartbeat.hints = hints
 
     def note_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Takes a peer's hints and its running work on owned endpoints."""
         for hint in heartbeat.hints:
-            self.hints.note(hint)
-        self.rebuilder.note_report(heartbeat.sender.id, heartbeat.running)
+            self.hints.update(hint)
+        self.reservation_reconciler.note_report(
+            heartbeat.sender.id, heartbeat.running
+        )
 
-    def note_state(self) -> None:
+    def on_config_change(self) -> None:
         """Turns what has been closed cold and refuses what waits for it."""
         self.hint_batch = (_NEVER, [])
         for name, ledger in list(self.ledgers.items()):
-            if self.is_closed(name):
-                self.transitions.note_closed(ledger)
+            if self.is_unschedulable(name):
+                self.phase_transitions.mark_cold(ledger)
                 self.wake(name)
 
-    def hint(self, endpoint: str) -> EndpointHint:
+    def local_hint(self, endpoint: str) -> EndpointHint:
         """Returns what peers should know of an owned endpoint."""
         ledger = self.ledger(endpoint)
         if ledger is None:
             return EndpointHint(endpoint=endpoint)
-        return self.hint_of(ledger)
+        return self.build_hint(ledger)
 
-    def best_hint(self, endpoint: str) -> EndpointHint:
+    def latest_hint(self, endpoint: str) -> EndpointHint:
         """Returns the own hint of an owned endpoint, else its owner's."""
         if self.owns(endpoint):
-            return self.hint(endpoint)
+            return self.local_hint(endpoint)
         return self.hints.newest(endpoint) or EndpointHint(endpoint=endpoint)
 
     def note_paused(self) -> None:
         """Distrusts everything after a pause of this daemon."""
         self.hints.clear()
         for ledger in self.ledgers.values():
-            self.transitions.note_paused(ledger)
-            ledger.begin_settling()
+            self.phase_transitions.note_paused(ledger)
+            ledger.begin_recovery()
 
     def count_waiting(self) -> int:
         """Returns the requests that wait in the queues of this owner."""
@@ -317,11 +328,11 @@
         """Grants what waits and has room now."""
         queue = self.queues.get(endpoint)
         if queue is not None:
-            queue.pump()
+            queue.grant_waiting()
 
-    def hint_of(self, ledger: EndpointLedger) -> EndpointHint:
+    def build_hint(self, ledger: EndpointLedger) -> EndpointHint:
         """Returns what peers should know of a ledger's endpoint."""
-        closed = self.closings.phase(ledger.name)
+        closed = self.unschedulable.phase(ledger.name)
         load = ledger.load
         return EndpointHint(
             endpoint=ledger.name,
@@ -346,7 +357,7 @@
 
     def _hints_for(self, request: ReserveRequest) -> list[EndpointHint]:
         names = self.state.endpoints_of(request.service)
-        hints = [self.hint(name) for name in names if self.owns(name)]
+        hints = [self.local_hint(name) for name in names if self.owns(name)]
         long = request.length_class == LengthClass.LONG
         hints.sort(key=lambda h: h.long_wait_s if long else h.short_wait_s)
         own = [hint for hint in hints if hint.endpoint == request.endpoint]
@@ -357,7 +368,7 @@
     ledger: EndpointLedger, request: ReserveRequest, wait_s: float
 ) -> ReserveReply | None:
     """Refuses what would wait longer than its deadline or asker allows."""
-    late_s = late_by_s(ledger, request, wait_s)
+    late_s = deadline_overrun_s(ledger, request, wait_s)
     if late_s > 0 and request.time_left_s:
         return ReserveReply(
             code=ResultCode.QUEUE_FULL,
@@ -371,4 +382,4 @@
     return None
 
 
-__all__ = ["OwnerTable"]
+__all__ = ["EndpointManager"]
--- a/src/auburnswitch/endpoints/orders.py
+++ b/src/auburnswitch/endpoints/engine_reconciler.py
@@ -16,10 +16,10 @@
 
 if TYPE_CHECKING:
     from auburnswitch.endpoints.client import EndpointClient
-    from auburnswitch.endpoints.fencing import FencingNumbers
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
+    from auburnswitch.endpoints.fencing import FencingNumberAllocator
     from auburnswitch.endpoints.ledger import EndpointLedger
-    from auburnswitch.endpoints.owner import OwnerTable
-    from auburnswitch.endpoints.weights import LoadAdmission
+    from auburnswitch.endpoints.model_load_limiter import ModelLoadLimiter
     from auburnswitch.observe.tasks import TaskSet
 
 CHECK_INTERVAL_S: Final = 1.0
@@ -46,38 +46,38 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class OrderState:
+class ReconcileState:
     """What is known of the orders of one endpoint.
 
     Attributes:
         matched_at: When the engine was last read and matched, in seconds of
             loop time.
-        matched: What it matched.
+        matched_target: What it matched.
         sent_at: When each order was sent, in seconds of loop time.
-        seen_number: Highest fencing number that the engine told.
+        last_seen_number: Highest fencing number that the engine told.
     """
 
     matched_at: float
-    matched: tuple[str, ...]
+    matched_target: tuple[str, ...]
     sent_at: dict[Order, float]
-    seen_number: int = 0
+    last_seen_number: int = 0
 
 
-class OrderKeeper:
+class EngineReconciler:
     """Compares engines with what is wanted and orders the difference.
 
     Attributes:
-        owner_table: Ledgers of the owned endpoints.
+        endpoint_manager: Ledgers of the owned endpoints.
         states: Orders by endpoint.
-        busy: Endpoints that are being compared.
+        reconciling: Endpoints that are being compared.
     """
 
     __slots__ = (
-        "admission",
-        "busy",
         "client",
-        "numbers",
-        "owner_table",
+        "endpoint_manager",
+        "fencing_numbers",
+        "load_limiter",
+        "reconciling",
         "states",
         "tasks",
     )
@@ -85,33 +85,33 @@
     def __init__(
         self,
         *,
-        owner_table: OwnerTable,
+        endpoint_manager: EndpointManager,
         client: EndpointClient,
-        numbers: FencingNumbers,
-        admission: LoadAdmission,
+        fencing_numbers: FencingNumberAllocator,
+        load_limiter: ModelLoadLimiter,
         tasks: TaskSet,
     ) -> None:
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.client = client
-        self.numbers = numbers
-        self.admission = admission
+        self.fencing_numbers = fencing_numbers
+        self.load_limiter = load_limiter
         self.tasks = tasks
-        self.states: dict[str, OrderState] = {}
-        self.busy: set[str] = set()
+        self.states: dict[str, ReconcileState] = {}
+        self.reconciling: set[str] = set()
 
     async def run(self) -> None:
         """Compares every owned engine for ever."""
         while True:
-            for name, ledger in list(self.owner_table.ledgers.items()):
-                if name not in self.busy and self._is_due(ledger):
-                    self.busy.add(name)
+            for name, ledger in list(self.endpoint_manager.ledgers.items()):
+                if name not in self.reconciling and self._is_due(ledger):
+                    self.reconciling.add(name)
                     self.tasks.start(self._compare(ledger), f"orders {name}")
             await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def wanted(self, ledger: EndpointLedger) -> list[Order]:
+    def desired_orders(self, ledger: EndpointLedger) -> list[Order]:
         """Returns the orders that would bring an engine about."""
         spec = ledger.spec
-        service = self.owner_table.state.services.get(spec.service)
+        service = self.endpoint_manager.state.services.get(spec.service)
         if service is None or service.kind != ServiceKind.MODEL:
             return []
         orders = []
@@ -125,12 +125,12 @@
         return orders
 
     def _is_due(self, ledger: EndpointLedger) -> bool:
-        if not self.wanted(ledger):
+        if not self.desired_orders(ledger):
             return False
-        if not self.owner_table.rights.may_use(ledger.name):
+        if not self.endpoint_manager.rights.may_use(ledger.name):
             return False
         state = self.states.get(ledger.name)
-        if state is None or state.matched != self._match_key(ledger):
+        if state is None or state.matched_target != self._match_key(ledger):
             return True
         return monotonic_s() >= state.matched_at + READ_BACK_INTERVAL_S
 
@@ -140,24 +140,27 @@
 
     async def _compare(self, ledger: EndpointLedger) -> None:
         state = self.states.setdefault(
-            ledger.name, OrderState(matched_at=0.0, matched=(), sent_at={})
+            ledger.name,
+            ReconcileState(matched_at=0.0, matched_target=(), sent_at={}),
         )
         try:
             key = self._match_key(ledger)
             current = await self._read(ledger)
-            missing = [o for o in self.wanted(ledger) if not _done(o, current)]
+            missing = [
+                o for o in self.desired_orders(ledger) if not _done(o, current)
+            ]
             if not missing:
-                state.matched = key
+                state.matched_target = key
                 state.matched_at = monotonic_s()
                 state.sent_at.clear()
                 return
-            state.matched = ()
+            state.matched_target = ()
             for order in missing:
                 await self._send(ledger, state, order)
         except (EndpointFailureError, TimeoutError, LookupError, ValueError):
             return  # read and compared again
         finally:
-            self.busy.discard(ledger.name)
+            self.reconciling.discard(ledger.name)
 
     async def _read(self, ledger: EndpointLedger) -> dict[str, Any]:
         async with (
@@ -167,17 +170,17 @@
             return await response.json()
 
     async def _send(
-        self, ledger: EndpointLedger, state: OrderState, order: Order
+        self, ledger: EndpointLedger, state: ReconcileState, order: Order
     ) -> None:
         sent_at = state.sent_at.get(order)
         if sent_at is not None and monotonic_s() < sent_at + ORDER_TIMEOUT_S:
             return  # a load takes its time; the next reading shows its end
-        if order.kind == "load_model" and not await self.admission.may_load(
+        if order.kind == "load_model" and not await self.load_limiter.may_load(
             order.name, order.version
         ):
             return
-        taken = await self.numbers.next_number(
-            ledger.name, above=state.seen_number
+        taken = await self.fencing_numbers.allocate(
+            ledger.name, last_seen=state.last_seen_number
         )
         match taken:
             case Result(tag="ok", ok=number):
@@ -188,7 +191,7 @@
     async def _post(
         self,
         ledger: EndpointLedger,
-        state: OrderState,
+        state: ReconcileState,
         order: Order,
         number: int,
     ) -> None:
@@ -205,13 +208,13 @@
             body = await response.json()
             status = response.status
         if status == 409:
-            state.seen_number = int(body["fencing_number"])
+            state.last_seen_number = int(body["fencing_number"])
             return
         if status != 200:
             return
         state.sent_at[order] = monotonic_s()
         if order.kind == "load_model":
-            self.owner_table.note_reloaded(ledger)
+            self.endpoint_manager.on_model_load_ordered(ledger)
         log_event(
             EventId.ORDER_SENT,
             endpoint=ledger.name,
@@ -229,7 +232,7 @@
         Raises:
             EndpointFailureError: The rights have run out.
         """
-        if not self.owner_table.rights.may_use(ledger.name):
+        if not self.endpoint_manager.rights.may_use(ledger.name):
             raise EndpointFailureError(
                 "the strict rights have run out", sent=False, lost=False
             )
@@ -242,4 +245,4 @@
     return loaded == (order.name, order.version)
 
 
-__all__ = ["Order", "OrderKeeper"]
+__all__ = ["Order", "EngineReconciler"]
--- a/src/auburnswitch/endpoints/engine_work.py
+++ b/src/auburnswitch/endpoints/engine_work.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class WorkKey:
+class AttemptKey:
     """Names one attempt and the daemon that sent it."""
 
     member_id: str
@@ -32,7 +32,7 @@
         tokens: Memory it takes, in tokens.
     """
 
-    key: WorkKey
+    key: AttemptKey
     path: str
     tokens: int
 
@@ -88,12 +88,12 @@
     )
 
 
-def _key(item: dict[str, Any]) -> WorkKey:
-    return WorkKey(
+def _key(item: dict[str, Any]) -> AttemptKey:
+    return AttemptKey(
         member_id=str(item["member_id"]),
         request_id=str(item["request_id"]),
         attempt=int(item["attempt"]),
     )
 
 
-__all__ = ["EngineWork", "WorkKey", "read_engine_work"]
+__all__ = ["EngineWork", "AttemptKey", "read_engine_work"]
--- a/src/auburnswitch/endpoints/fencing.py
+++ b/src/auburnswitch/endpoints/fencing.py
@@ -21,7 +21,7 @@
 FENCING_PREFIX: Final = "fencing/"
 
 
-class FencingNumbers:
+class FencingNumberAllocator:
     """Takes numbers by conditional update, so that no two are equal.
 
     Attributes:
@@ -35,14 +35,14 @@
         self.store = store
         self.member_id = member_id
 
-    async def next_number(
-        self, endpoint: str, *, above: int = 0
+    async def allocate(
+        self, endpoint: str, *, last_seen: int = 0
     ) -> Result[int, str]:
         """Takes the next number of an endpoint.
 
         Args:
             endpoint: The endpoint's name.
-            above: Number that the engine has seen, if it told.
+            last_seen: Number that the engine has seen, if it told.
 
         Returns:
             The number, or why there is none.
@@ -53,7 +53,7 @@
                 record, version = _decode(stored)
             case Result(error=error):
                 return Error(error.reason)
-        number = max(record.number, above) + 1
+        number = max(record.number, last_seen) + 1
         new = FencingRecord(number=number, member_id=self.member_id)
         put = await self.store.put(key, to_json(new), expected_version=version)
         match put:
@@ -85,4 +85,4 @@
         return FencingRecord(), stored.version
 
 
-__all__ = ["FENCING_PREFIX", "FencingNumbers"]
+__all__ = ["FENCING_PREFIX", "FencingNumberAllocator"]
--- a/src/auburnswitch/endpoints/handover.py
+++ b/src/auburnswitch/endpoints/handover.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.schema.peers import HandoverRequest
 
 
@@ -13,40 +13,40 @@
     """Fills and takes hand-overs.
 
     Attributes:
-        owner_table: Ledgers of the owned endpoints.
+        endpoint_manager: Ledgers of the owned endpoints.
     """
 
-    __slots__ = ("owner_table",)
+    __slots__ = ("endpoint_manager",)
 
-    def __init__(self, *, owner_table: OwnerTable) -> None:
-        self.owner_table = owner_table
+    def __init__(self, *, endpoint_manager: EndpointManager) -> None:
+        self.endpoint_manager = endpoint_manager
 
-    def fill(self, request: HandoverRequest) -> None:
+    def fill_request(self, request: HandoverRequest) -> None:
         """Adds what a successor must know of its new endpoints."""
         for name in request.endpoints:
-            ledger = self.owner_table.ledgers.get(name)
+            ledger = self.endpoint_manager.ledgers.get(name)
             if ledger is None:
                 continue
-            request.states.append(self.owner_table.hint_of(ledger))
+            request.states.append(self.endpoint_manager.build_hint(ledger))
             for reservation in ledger.reservations.values():
                 request.running.append(reservation.to_work(name))
                 request.holders.append(reservation.member_id)
 
-    def take(self, request: HandoverRequest) -> None:
+    def apply_request(self, request: HandoverRequest) -> None:
         """Takes over the endpoints of a leaving owner."""
-        table = self.owner_table
+        table = self.endpoint_manager
         status = table.view.peers.get(request.member_id)
         if status is not None:
             status.leaving = True  # its endpoints have a new owner now
         for hint in request.states:
-            table.hints.note(hint)
+            table.hints.update(hint)
             ledger = table.ledger(hint.endpoint)
             if ledger is not None:
-                ledger.settling = False
+                ledger.recovering = False
         for work, holder in zip(request.running, request.holders, strict=True):
             ledger = table.ledger(work.endpoint)
             if ledger is not None:
-                ledger.note_work(work, holder)
+                ledger.record_reported_work(work, holder)
 
 
 __all__ = ["Handover"]
--- a/src/auburnswitch/endpoints/hints.py
+++ b/src/auburnswitch/endpoints/hints.py
@@ -10,7 +10,7 @@
     from auburnswitch.schema.peers import EndpointHint
 
 
-class HintBook:
+class HintCache:
     """The newest hint of each endpoint.
 
     Attributes:
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.hints: dict[str, tuple[float, EndpointHint]] = {}
 
-    def note(self, hint: EndpointHint) -> None:
+    def update(self, hint: EndpointHint) -> None:
         """Takes a hint."""
         self.hints[hint.endpoint] = (monotonic_s(), hint)
 
@@ -45,4 +45,4 @@
         self.hints.clear()
 
 
-__all__ = ["HintBook"]
+__all__ = ["HintCache"]
--- a/src/auburnswitch/endpoints/instances.py
+++ b/src/auburnswitch/endpoints/instance_list.py
@@ -11,15 +11,15 @@
 from auburnswitch.members.rendezvous import rendezvous_order
 
 if TYPE_CHECKING:
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.object_store.store import Instance, ObjectStore
     from auburnswitch.schema.peers import Heartbeat
 
-READER_NAME: Final = "instance list"
-MISSED_READINGS: Final = 3
+READER_ELECTION_KEY: Final = "instance list"
+MISSED_READS_BEFORE_FAILOVER: Final = 3
 
 
-class InstanceReader:
+class InstanceListReader:
     """Reads the list in one daemon, which tells the others.
 
     The next daemon in rendezvous order reads it when the reader has told
@@ -27,31 +27,40 @@
 
     Attributes:
         store: The platform's store.
-        owner_table: Learns which instances are leaving.
-        has_read: Whether this daemon's last reading succeeded.
-        noted_at: Loop time of the newest reading known, in seconds.
+        endpoint_manager: Learns which instances are leaving.
+        last_read_succeeded: Whether this daemon's last reading succeeded.
+        updated_at: Loop time of the newest reading known, in seconds.
     """
 
-    __slots__ = ("has_read", "noted_at", "owner_table", "store")
+    __slots__ = (
+        "endpoint_manager",
+        "last_read_succeeded",
+        "store",
+        "updated_at",
+    )
 
-    def __init__(self, *, store: ObjectStore, owner_table: OwnerTable) -> None:
+    def __init__(
+        self, *, store: ObjectStore, endpoint_manager: EndpointManager
+    ) -> None:
         self.store = store
-        self.owner_table = owner_table
-        self.has_read = False
-        self.noted_at = monotonic_s()
+        self.endpoint_manager = endpoint_manager
+        self.last_read_succeeded = False
+        self.updated_at = monotonic_s()
 
     async def run(self) -> None:
         """Reads the list whenever this daemon is the reader."""
-        interval_s = self.owner_table.settings.endpoints.instances_interval_s
+        interval_s = (
+            self.endpoint_manager.settings.endpoints.instances_interval_s
+        )
         while True:
-            self.has_read = self._is_reader() and await self._read()
+            self.last_read_succeeded = self._is_reader() and await self._read()
             await asyncio.sleep(interval_s)
 
     def fill_heartbeat(self, heartbeat: Heartbeat, _: str) -> None:
         """Tells a peer which instances are leaving."""
-        heartbeat.reads_instances = self.has_read
-        if self.has_read:
-            leaving = self.owner_table.closings.leaving_instances
+        heartbeat.reads_instances = self.last_read_succeeded
+        if self.last_read_succeeded:
+            leaving = self.endpoint_manager.unschedulable.leaving_instances
             heartbeat.leaving_endpoints = sorted(leaving)
 
     def note_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -60,13 +69,17 @@
             self._note(set(heartbeat.leaving_endpoints))
 
     def _is_reader(self) -> bool:
-        view = self.owner_table.view
-        order = rendezvous_order(READER_NAME, view.live_ids())
+        view = self.endpoint_manager.view
+        order = rendezvous_order(READER_ELECTION_KEY, view.live_ids())
         if view.me.id not in order:
             return False  # this daemon is stopping
-        interval_s = self.owner_table.settings.endpoints.instances_interval_s
-        wait_s = order.index(view.me.id) * MISSED_READINGS * interval_s
-        return wait_s == 0 or monotonic_s() > self.noted_at + wait_s
+        interval_s = (
+            self.endpoint_manager.settings.endpoints.instances_interval_s
+        )
+        wait_s = (
+            order.index(view.me.id) * MISSED_READS_BEFORE_FAILOVER * interval_s
+        )
+        return wait_s == 0 or monotonic_s() > self.updated_at + wait_s
 
     async def _read(self) -> bool:
         match await self.store.instances():
@@ -76,15 +89,15 @@
         return False
 
     def _leaving(self, instances: list[Instance]) -> set[str]:
-        endpoints = self.owner_table.state.endpoints
+        endpoints = self.endpoint_manager.state.endpoints
         used = {spec.instance or name for name, spec in endpoints.items()}
         return {i.name for i in instances if i.leaving and i.name in used}
 
     def _note(self, leaving: set[str]) -> None:
-        self.noted_at = monotonic_s()
-        if leaving != self.owner_table.closings.leaving_instances:
-            self.owner_table.closings.leaving_instances = leaving
-            self.owner_table.note_state()
+        self.updated_at = monotonic_s()
+        if leaving != self.endpoint_manager.unschedulable.leaving_instances:
+            self.endpoint_manager.unschedulable.leaving_instances = leaving
+            self.endpoint_manager.on_config_change()
 
 
-__all__ = ["InstanceReader"]
+__all__ = ["InstanceListReader"]
--- a/src/auburnswitch/endpoints/monitor.py
+++ b/src/auburnswitch/endpoints/load_monitor.py
@@ -8,13 +8,13 @@
 import aiohttp
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.endpoints.load import parse_load
+from auburnswitch.endpoints.load_report import parse_load_report
 from auburnswitch.observe.logs import log_event
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.endpoints.orphans import OrphanCollector
-    from auburnswitch.endpoints.owner import OwnerTable
     from auburnswitch.endpoints.reservations import ReservationClient
     from auburnswitch.observe.tasks import TaskSet
     from auburnswitch.schema.objects import Endpoint
@@ -25,15 +25,15 @@
     """Runs one task for each owned endpoint.
 
     Attributes:
-        owner_table: Where the reports go.
+        endpoint_manager: Where the reports go.
         orphans: Frees memory that no one claims.
         pollers: Running task of each owned endpoint.
         updated_at: Loop time of the last look at ownership, in seconds.
     """
 
     __slots__ = (
+        "endpoint_manager",
         "orphans",
-        "owner_table",
         "pollers",
         "reservations",
         "session",
@@ -46,14 +46,14 @@
         self,
         *,
         settings: Settings,
-        owner_table: OwnerTable,
+        endpoint_manager: EndpointManager,
         reservations: ReservationClient,
         orphans: OrphanCollector,
         session: aiohttp.ClientSession,
         tasks: TaskSet,
     ) -> None:
         self.settings = settings
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.reservations = reservations
         self.orphans = orphans
         self.session = session
@@ -66,28 +66,28 @@
         while True:
             self._check_pause()
             self._update()
-            self.reservations.report_own()
+            self.reservations.report_local_reservations()
             await asyncio.sleep(self.settings.endpoints.load_interval_s / 2)
 
     def _check_pause(self) -> None:
         now = monotonic_s()
         if now - self.updated_at > self.settings.members.suspect_after_s:
-            self.owner_table.note_paused()
+            self.endpoint_manager.note_paused()
         self.updated_at = now
 
     def _update(self) -> None:
-        owned = set(self.owner_table.owned())
+        owned = set(self.endpoint_manager.owned())
         for name in owned - self.pollers.keys():
             task = self.tasks.start(self._poll(name), f"load {name}")
             self.pollers[name] = task
         for name in self.pollers.keys() - owned:
             self.pollers.pop(name).cancel()
-        for name in self.owner_table.ledgers.keys() - owned:
-            self.owner_table.drop_ledger(name)
+        for name in self.endpoint_manager.ledgers.keys() - owned:
+            self.endpoint_manager.drop_ledger(name)
 
     async def _poll(self, name: str) -> None:
         while True:
-            spec = self.owner_table.state.endpoints.get(name)
+            spec = self.endpoint_manager.state.endpoints.get(name)
             if spec is not None:
                 await self._read_load(name, spec)
             await asyncio.sleep(self.settings.endpoints.load_interval_s)
@@ -100,7 +100,7 @@
                 asyncio.timeout(self.settings.endpoints.connect_timeout_s),
                 self.session.get(url) as response,
             ):
-                report = parse_load(await response.json())
+                report = parse_load_report(await response.json())
         except (
             aiohttp.ClientError,
             OSError,
@@ -110,12 +110,12 @@
             log_event(
                 EventId.ENDPOINT_UNREACHABLE, endpoint=name, reason=repr(error)
             )
-            self.owner_table.note_unreachable(name)
+            self.endpoint_manager.note_unreachable(name)
             return
-        self.owner_table.note_load(name, report, asked_at)
-        ledger = self.owner_table.ledgers.get(name)
+        self.endpoint_manager.note_load(name, report, asked_at)
+        ledger = self.endpoint_manager.ledgers.get(name)
         if ledger is not None:
-            await self.orphans.compare(ledger)
+            await self.orphans.collect_if_due(ledger)
 
 
 __all__ = ["LoadMonitor"]
--- a/src/auburnswitch/endpoints/load.py
+++ b/src/auburnswitch/endpoints/load_report.py
@@ -32,7 +32,7 @@
         return not (self.running or self.waiting or self.memory_used_tokens)
 
 
-def parse_load(body: Any) -> LoadReport:
+def parse_load_report(body: Any) -> LoadReport:
     """Builds a load report from the endpoint's answer.
 
     Raises:
@@ -54,4 +54,4 @@
     return value if type(value) is int and value > 0 else 0
 
 
-__all__ = ["LoadReport", "parse_load"]
+__all__ = ["LoadReport", "parse_load_report"]
--- a/src/auburnswitch/endpoints/weights.py
+++ b/src/auburnswitch/endpoints/model_load_limiter.py
@@ -18,15 +18,15 @@
 CALL_TIMEOUT_S: Final = 2.0
 
 
-class LoadAdmission:
+class ModelLoadLimiter:
     """A token bucket with this daemon's share of the weight store's rate.
 
     Attributes:
         count_daemons: Returns the number of daemons that share the rate.
-        next_at: Loop time from which a load may start, in seconds.
+        next_load_at: Loop time from which a load may start, in seconds.
     """
 
-    __slots__ = ("count_daemons", "next_at", "session", "settings")
+    __slots__ = ("count_daemons", "next_load_at", "session", "settings")
 
     def __init__(
         self,
@@ -38,15 +38,15 @@
         self.settings = settings
         self.session = session
         self.count_daemons = count_daemons
-        self.next_at = 0.0
+        self.next_load_at = 0.0
 
     async def may_load(self, model: str, version: str) -> bool:
         """Tells whether a load may start now, and counts it if so."""
-        if monotonic_s() < self.next_at:
+        if monotonic_s() < self.next_load_at:
             return False
         rate = self.settings.weight_loads_per_second
         interval_s = max(1, self.count_daemons()) / rate
-        self.next_at = monotonic_s() + interval_s
+        self.next_load_at = monotonic_s() + interval_s
         if not self.settings.weight_store_url:
             return True
         return await self._ask(model, version)
@@ -64,8 +64,8 @@
                 wait_s = float(response.headers.get("Retry-After", 0) or 0)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
             wait_s = 0.0
-        self.next_at = monotonic_s() + max(wait_s, DEFAULT_RETRY_S)
+        self.next_load_at = monotonic_s() + max(wait_s, DEFAULT_RETRY_S)
         return False
 
 
-__all__ = ["LoadAdmission"]
+__all__ = ["ModelLoadLimiter"]
--- a/src/auburnswitch/endpoints/orphans.py
+++ b/src/auburnswitch/endpoints/orphans.py
@@ -8,8 +8,8 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import EndpointClient, EndpointFailureError
 from auburnswitch.endpoints.engine_work import (
+    AttemptKey,
     EngineWork,
-    WorkKey,
     read_engine_work,
 )
 from auburnswitch.members.frames import FrameError
@@ -19,25 +19,25 @@
 from auburnswitch.schema.peers import AttemptId, ClaimsReply, ClaimsRequest
 
 if TYPE_CHECKING:
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.endpoints.ledger import EndpointLedger
-    from auburnswitch.endpoints.owner import OwnerTable
     from auburnswitch.endpoints.reservation import Reservation
     from auburnswitch.endpoints.reservations import ReservationClient
     from auburnswitch.members.server import PeerServer
 
-ROUNDS: Final = 2
+CONFIRMATION_ROUNDS: Final = 2
 
 
 @dataclass(slots=True, kw_only=True)
-class Suspect:
+class OrphanCandidate:
     """Work of an engine that no reservation covers.
 
     Attributes:
-        since: Loop time at which it was first seen so, in seconds.
+        first_seen_at: Loop time at which it was first seen so, in seconds.
         rounds: Comparisons in a row that found it so.
     """
 
-    since: float
+    first_seen_at: float
     rounds: int = 1
 
 
@@ -45,31 +45,31 @@
     """Compares engines' lists with reservations.
 
     Attributes:
-        owner_table: Ledgers of the owned endpoints.
+        endpoint_manager: Ledgers of the owned endpoints.
         reservations: This daemon's reservations.
         client: Calls the engines.
-        suspects: Unclaimed work by endpoint and resource.
+        candidates: Unclaimed work by endpoint and resource.
     """
 
-    __slots__ = ("client", "owner_table", "reservations", "suspects")
+    __slots__ = ("candidates", "client", "endpoint_manager", "reservations")
 
     def __init__(
         self,
         *,
-        owner_table: OwnerTable,
+        endpoint_manager: EndpointManager,
         reservations: ReservationClient,
         client: EndpointClient,
     ) -> None:
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.reservations = reservations
         self.client = client
-        self.suspects: dict[tuple[str, str], Suspect] = {}
+        self.candidates: dict[tuple[str, str], OrphanCandidate] = {}
 
     def register(self, server: PeerServer) -> None:
         """Registers the answer to other owners."""
         server.handlers[ClaimsRequest] = self._on_claims
 
-    async def compare(self, ledger: EndpointLedger) -> None:
+    async def collect_if_due(self, ledger: EndpointLedger) -> None:
         """Reads an engine's lists if it is time to, and frees orphans."""
         if not self._is_due(ledger):
             return
@@ -79,30 +79,30 @@
         except (EndpointFailureError, TimeoutError):
             return
         self._end_unheld(ledger, works, asked_at)
-        ledger.uncovered = {
+        ledger.unreserved_tokens = {
             work.path: work.tokens
             for work in works
             if not _is_covered(ledger, work.key)
         }
-        ledger.listed_at = asked_at
+        ledger.work_listed_at = asked_at
         unclaimed = [w for w in works if not self._is_claimed(ledger, w.key)]
-        self.owner_table.wake(ledger.name)
+        self.endpoint_manager.wake(ledger.name)
         for work in self._update_suspects(ledger, unclaimed):
             await self._free_if_dead(ledger, work)
 
     def _is_due(self, ledger: EndpointLedger) -> bool:
-        service = self.owner_table.state.services.get(ledger.spec.service)
+        service = self.endpoint_manager.state.services.get(ledger.spec.service)
         if service is None or service.kind != ServiceKind.MODEL:
             return False
-        if self.owner_table.gate.needs_survey(ledger):
+        if self.endpoint_manager.cold_gate.needs_work_listing(ledger):
             return True
-        is_unheld = self.owner_table.rebuilder.is_unheld
-        if any(is_unheld(r) for r in ledger.reservations.values()):
+        is_abandoned = self.endpoint_manager.reservation_reconciler.is_abandoned
+        if any(is_abandoned(r) for r in ledger.reservations.values()):
             return True
-        interval_s = self.owner_table.settings.endpoints.orphan_interval_s
-        if monotonic_s() < ledger.listed_at + interval_s:
+        interval_s = self.endpoint_manager.settings.endpoints.orphan_interval_s
+        if monotonic_s() < ledger.work_listed_at + interval_s:
             return False
-        if ledger.uncovered:
+        if ledger.unreserved_tokens:
             return True
         return ledger.load is not None and not ledger.load.is_empty
 
@@ -113,21 +113,21 @@
         asked_at: float,
     ) -> None:
         """Ends what no one holds and the engine does not have either."""
-        ttl_s = self.owner_table.settings.members.reservation_ttl_s
-        is_unheld = self.owner_table.rebuilder.is_unheld
+        ttl_s = self.endpoint_manager.settings.members.reservation_ttl_s
+        is_abandoned = self.endpoint_manager.reservation_reconciler.is_abandoned
         for reservation in list(ledger.reservations.values()):
             used_by = reservation.granted_at + ttl_s
-            if reservation.lingering_since is not None:
-                used_by = reservation.lingering_since
-            if used_by > asked_at or not is_unheld(reservation):
+            if reservation.released_at is not None:
+                used_by = reservation.released_at
+            if used_by > asked_at or not is_abandoned(reservation):
                 continue
             if not any(_matches(reservation, work.key) for work in works):
                 ledger.end(reservation.id)
 
-    def _is_claimed(self, ledger: EndpointLedger, key: WorkKey) -> bool:
-        is_unheld = self.owner_table.rebuilder.is_unheld
+    def _is_claimed(self, ledger: EndpointLedger, key: AttemptKey) -> bool:
+        is_abandoned = self.endpoint_manager.reservation_reconciler.is_abandoned
         return any(
-            _matches(reservation, key) and not is_unheld(reservation)
+            _matches(reservation, key) and not is_abandoned(reservation)
             for reservation in ledger.reservations.values()
         )
 
@@ -137,29 +137,29 @@
         """Counts the rounds of unclaimed work; returns what has had enough."""
         now = monotonic_s()
         paths = {work.path for work in unclaimed}
-        for name, path in list(self.suspects):
+        for name, path in list(self.candidates):
             if name == ledger.name and path not in paths:
-                del self.suspects[name, path]
+                del self.candidates[name, path]
         ripe = []
         for work in unclaimed:
-            suspect = self.suspects.get((ledger.name, work.path))
+            suspect = self.candidates.get((ledger.name, work.path))
             if suspect is None:
-                suspect = Suspect(since=now)
-                self.suspects[ledger.name, work.path] = suspect
+                suspect = OrphanCandidate(first_seen_at=now)
+                self.candidates[ledger.name, work.path] = suspect
                 continue
             suspect.rounds += 1
             if self._is_ripe(suspect):
                 ripe.append(work)
         return ripe
 
-    def _is_ripe(self, suspect: Suspect) -> bool:
-        settings = self.owner_table.settings
+    def _is_ripe(self, suspect: OrphanCandidate) -> bool:
+        settings = self.endpoint_manager.settings
         wait_s = (
-            ROUNDS * settings.members.heartbeat_interval_s
+            CONFIRMATION_ROUNDS * settings.members.heartbeat_interval_s
             + settings.endpoints.load_lag_s
         )
-        old = monotonic_s() >= suspect.since + wait_s
-        return old and suspect.rounds > ROUNDS
+        old = monotonic_s() >= suspect.first_seen_at + wait_s
+        return old and suspect.rounds > CONFIRMATION_ROUNDS
 
     async def _free_if_dead(
         self, ledger: EndpointLedger, work: EngineWork
@@ -168,8 +168,8 @@
             return
         if not await self.client.delete(ledger.spec, work.path):
             return
-        self.suspects.pop((ledger.name, work.path), None)
-        ledger.uncovered.pop(work.path, None)
+        self.candidates.pop((ledger.name, work.path), None)
+        ledger.unreserved_tokens.pop(work.path, None)
         log_event(
             EventId.ORPHAN_FREED,
             endpoint=ledger.name,
@@ -178,11 +178,11 @@
             attempt=work.key.attempt,
             tokens=work.tokens,
         )
-        self.owner_table.wake(ledger.name)
+        self.endpoint_manager.wake(ledger.name)
 
-    async def _is_dead(self, ledger: EndpointLedger, key: WorkKey) -> bool:
+    async def _is_dead(self, ledger: EndpointLedger, key: AttemptKey) -> bool:
         """Tells whether the daemon that sent the work has it no longer."""
-        view = self.owner_table.view
+        view = self.endpoint_manager.view
         if key.member_id == view.me.id:
             return not self._has(ledger.name, key.request_id, key.attempt)
         status = view.peers.get(key.member_id)
@@ -193,9 +193,11 @@
         if key.member_id in view.roster_ids():
             return False  # it may be frozen or cut off
         # Only the roster that a majority goes by shows who is gone.
-        return self.owner_table.rights.may_use(ledger.name)
+        return self.endpoint_manager.rights.may_use(ledger.name)
 
-    async def _is_given_up(self, ledger: EndpointLedger, key: WorkKey) -> bool:
+    async def _is_given_up(
+        self, ledger: EndpointLedger, key: AttemptKey
+    ) -> bool:
         link = self.reservations.membership.links.get(key.member_id)
         if link is None:
             return False
@@ -224,13 +226,13 @@
         return ClaimsReply(attempts=claimed)
 
 
-def _is_covered(ledger: EndpointLedger, key: WorkKey) -> bool:
+def _is_covered(ledger: EndpointLedger, key: AttemptKey) -> bool:
     if (key.request_id, key.attempt) in ledger.ended_attempts:
         return True  # the list was made before the release
     return any(_matches(r, key) for r in ledger.reservations.values())
 
 
-def _matches(reservation: Reservation, key: WorkKey) -> bool:
+def _matches(reservation: Reservation, key: AttemptKey) -> bool:
     return (
         reservation.request_id == key.request_id
         and reservation.member_id == key.member_id
--- a/src/auburnswitch/endpoints/owner_calls.py
+++ b/src/auburnswitch/endpoints/owner_client.py
@@ -17,50 +17,57 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.members.service import Membership
 
 LATE_REPLY_TIMEOUT_S: Final = 60.0
 
 
-class OwnerCalls:
+class OwnerClient:
     """Calls owners, this daemon among them.
 
     Attributes:
-        owner_table: Answers where this daemon is the owner.
+        endpoint_manager: Answers where this daemon is the owner.
         membership: Links to the other daemons.
-        apply: Takes a message to this daemon.
-        asking: Calls that have not been answered.
+        apply_locally: Takes a message to this daemon.
+        pending_calls: Calls that have not been answered.
     """
 
-    __slots__ = ("apply", "asking", "membership", "owner_table")
+    __slots__ = (
+        "apply_locally",
+        "endpoint_manager",
+        "membership",
+        "pending_calls",
+    )
 
     def __init__(
         self,
         *,
-        owner_table: OwnerTable,
+        endpoint_manager: EndpointManager,
         membership: Membership,
-        apply: Callable[[ReleaseRequest | ProgressRequest], None],
+        apply_locally: Callable[[ReleaseRequest | ProgressRequest], None],
     ) -> None:
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.membership = membership
-        self.apply = apply
-        self.asking: set[asyncio.Task[ReserveReply]] = set()
+        self.apply_locally = apply_locally
+        self.pending_calls: set[asyncio.Task[ReserveReply]] = set()
 
-    async def ask(self, owner_id: str, request: ReserveRequest) -> ReserveReply:
+    async def reserve(
+        self, owner_id: str, request: ReserveRequest
+    ) -> ReserveReply:
         """Asks an owner for room.
 
         Room that is granted after the asker has gone is given back.
         """
-        me = self.owner_table.view.me.id
+        me = self.endpoint_manager.view.me.id
         if owner_id == me:
-            return await self.owner_table.reserve(request, me)
+            return await self.endpoint_manager.reserve(request, me)
         link = self.membership.links.get(owner_id)
         if link is None:
             return ReserveReply(code=ResultCode.PEER_UNREACHABLE)
         task = asyncio.create_task(self._call(link, request))
-        self.asking.add(task)
-        task.add_done_callback(self.asking.discard)
+        self.pending_calls.add(task)
+        task.add_done_callback(self.pending_calls.discard)
         timeout_s = request.max_wait_s + link.settings.call_timeout_s
         try:
             async with asyncio.timeout(timeout_s):
@@ -105,8 +112,8 @@
         self, member_id: str, request: ReleaseRequest | ProgressRequest
     ) -> None:
         """Tells an owner of the progress or the end of a reservation."""
-        if member_id == self.owner_table.view.me.id:
-            self.apply(request)
+        if member_id == self.endpoint_manager.view.me.id:
+            self.apply_locally(request)
             return
         link = self.membership.links.get(member_id)
         if link is None:
@@ -117,4 +124,4 @@
             return
 
 
-__all__ = ["OwnerCalls"]
+__all__ = ["OwnerClient"]
--- a/src/auburnswitch/endpoints/transitions.py
+++ b/src/auburnswitch/endpoints/phase_transitions.py
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from auburnswitch.endpoints.closing import Closings
-    from auburnswitch.endpoints.hints import HintBook
+    from auburnswitch.endpoints.hints import HintCache
     from auburnswitch.endpoints.ledger import EndpointLedger
-    from auburnswitch.endpoints.load import LoadReport
+    from auburnswitch.endpoints.load_report import LoadReport
     from auburnswitch.endpoints.reservation import Reservation
+    from auburnswitch.endpoints.unschedulable import UnschedulableEndpoints
     from auburnswitch.schema.peers import ReleaseRequest
     from auburnswitch.schema.settings import EndpointsSettings
 
@@ -24,26 +24,26 @@
 HINT_MAX_AGE_S: Final = 15.0
 
 
-class Transitions:
+class PhaseTransitions:
     """Moves endpoints between their phases.
 
     Attributes:
         hints: What earlier owners told of the endpoints.
-        closings: Endpoints that receive no new work.
+        unschedulable: Endpoints that receive no new work.
     """
 
-    __slots__ = ("closings", "hints", "settings")
+    __slots__ = ("hints", "settings", "unschedulable")
 
     def __init__(
         self,
         *,
         settings: EndpointsSettings,
-        hints: HintBook,
-        closings: Closings,
+        hints: HintCache,
+        unschedulable: UnschedulableEndpoints,
     ) -> None:
         self.settings = settings
         self.hints = hints
-        self.closings = closings
+        self.unschedulable = unschedulable
 
     def note_outcome(
         self,
@@ -54,7 +54,7 @@
         """Learns from the end of an attempt."""
         if reservation.boot_id != ledger.boot_id:
             return  # it ran on an earlier start
-        if self.closings.phase(ledger.name) is not None:
+        if self.unschedulable.phase(ledger.name) is not None:
             return
         with _logged(ledger):
             if request.endpoint_lost:
@@ -64,7 +64,7 @@
             elif request.succeeded:
                 ledger.warm_up.note_success(ledger.spec)
             else:
-                ledger.warm_up.note_trouble(ledger.spec)
+                ledger.warm_up.reduce_window(ledger.spec)
 
     def note_first_token(
         self,
@@ -75,11 +75,14 @@
         """Compares a first-token time with the endpoint's record."""
         if first_token_s <= 0 or reservation.boot_id != ledger.boot_id:
             return
-        expected_s = max(FIRST_TOKEN_FLOOR_S, reservation.expected_s)
+        expected_first_token_s = max(
+            FIRST_TOKEN_FLOOR_S, reservation.expected_first_token_s
+        )
         with _logged(ledger):
             ledger.warm_up.note_first_token(
                 ledger.spec,
-                max(FIRST_TOKEN_FLOOR_S, first_token_s) / expected_s,
+                max(FIRST_TOKEN_FLOOR_S, first_token_s)
+                / expected_first_token_s,
                 self.settings.slow_first_token_ratio,
             )
 
@@ -89,7 +92,7 @@
         ledger.load_failures = 0
         warm_up = ledger.warm_up
         with _logged(ledger):
-            if self.closings.phase(ledger.name) is not None:
+            if self.unschedulable.phase(ledger.name) is not None:
                 warm_up.note_cold(report.boot_id)  # it may come back cold
             elif ledger.phase is EndpointPhase.UNKNOWN:
                 self._begin(ledger, report)
@@ -107,7 +110,7 @@
             with _logged(ledger):
                 ledger.warm_up.note_down()
 
-    def note_closed(self, ledger: EndpointLedger) -> None:
+    def mark_cold(self, ledger: EndpointLedger) -> None:
         """Takes note that an endpoint is out or leaving; it returns cold."""
         if ledger.phase is not EndpointPhase.UNKNOWN:
             with _logged(ledger):
@@ -122,7 +125,7 @@
         ledger.warm_up.note_cold(report.boot_id)
         hint = self.hints.newest(ledger.name, max_age_s=HINT_MAX_AGE_S)
         if hint is not None and hint.boot_id == report.boot_id:
-            ledger.warm_up.adopt(hint)
+            ledger.warm_up.inherit(hint)
 
     def _has_old_work(self, ledger: EndpointLedger) -> bool:
         # A report may be older than the work; only work that was dispatched
@@ -158,4 +161,4 @@
         )
 
 
-__all__ = ["Transitions"]
+__all__ = ["PhaseTransitions"]
--- a/src/auburnswitch/endpoints/phases.py
+++ b/src/auburnswitch/endpoints/phases.py
@@ -10,24 +10,26 @@
 if TYPE_CHECKING:
     from auburnswitch.schema.objects import Endpoint
 
-CLOSED_PHASES: Final = (
+UNSCHEDULABLE_PHASES: Final = (
     EndpointPhase.LEAVING,
     EndpointPhase.OUT,
     EndpointPhase.DOWN,
 )
 STRICT_PHASES: Final = (EndpointPhase.UNKNOWN, EndpointPhase.COLD)
-ADOPTED_PHASES: Final = (EndpointPhase.WARMING, EndpointPhase.WARM)
-GROWTH_DIVISOR: Final = 4
-RECORD_WEIGHT: Final = 0.1
-SLOW_ANSWERS: Final = 2
-EMPTY_REPORTS: Final = 2
-NORMAL_RATIO: Final = 1.5  # first-token time over the usual one
-SPEED_UP: Final = 2.0  # of an engine that ends its cold phase
-UNSEEN_TURNS: Final = 1  # that an engine may have made while it was cold
+INHERITABLE_PHASES: Final = (EndpointPhase.WARMING, EndpointPhase.WARM)
+WINDOW_GROWTH_DIVISOR: Final = 4
+BASELINE_EWMA_WEIGHT: Final = 0.1
+SLOW_ANSWERS_BEFORE_COLD: Final = 2
+EMPTY_REPORTS_BEFORE_COLD: Final = 2
+MAX_NORMAL_RATIO: Final = 1.5  # first-token time over the usual one
+WARM_SPEEDUP_RATIO: Final = 2.0  # of an engine that ends its cold phase
+MAX_UNDETECTED_RESETS: Final = (
+    1  # that an engine may have made while it was cold
+)
 
 
 @dataclass(slots=True, kw_only=True)
-class Bounds:
+class LoadLimits:
     """The most work that an endpoint may have at one time.
 
     Attributes:
@@ -39,7 +41,7 @@
     prompt_tokens: int
 
 
-class WarmUp:
+class WarmUpState:
     """The phase of one endpoint and the load that goes with it.
 
     Attributes:
@@ -48,22 +50,22 @@
         generation: How often it has turned cold.
         successes: Requests that succeeded since it was cold.
         window: Requests that may run at one time while load rises.
-        record: Usual first-token time over the expected one, when not cold.
-        slowest: Most of that ratio since the endpoint was cold.
-        normal_speed: The newest answer was as quick as one of a warm endpoint.
+        baseline_ratio: Usual first-token time over the expected one, when not cold.
+        max_cold_ratio: Most of that ratio since the endpoint was cold.
+        is_normal_speed: The newest answer was as quick as one of a warm endpoint.
         slow_answers: First tokens in a row far above the record.
         empty_reports: Load reports in a row that show none of the known work.
     """
 
     __slots__ = (
+        "baseline_ratio",
         "boot_id",
         "empty_reports",
         "generation",
-        "normal_speed",
+        "is_normal_speed",
+        "max_cold_ratio",
         "phase",
-        "record",
         "slow_answers",
-        "slowest",
         "successes",
         "window",
     )
@@ -72,7 +74,7 @@
         self.phase = EndpointPhase.UNKNOWN
         self.boot_id = ""
         self.generation = 0
-        self.record = 0.0
+        self.baseline_ratio = 0.0
         self._reset()
 
     @property
@@ -80,27 +82,27 @@
         """Whether only the strict owner may grant work."""
         return self.phase in STRICT_PHASES
 
-    def bounds(self, spec: Endpoint) -> Bounds:
+    def limits(self, spec: Endpoint) -> LoadLimits:
         """Returns the most work in the present phase."""
         match self.phase:
             case EndpointPhase.UNKNOWN | EndpointPhase.COLD:
-                return Bounds(
+                return LoadLimits(
                     running=spec.cold_max_running,
                     prompt_tokens=spec.cold_max_tokens,
                 )
             case EndpointPhase.WARMING:
                 share = self.window / max(1, spec.max_running)
                 tokens = int(spec.memory_tokens * share)
-                return Bounds(
+                return LoadLimits(
                     running=self.window,
                     prompt_tokens=max(spec.cold_max_tokens, tokens),
                 )
             case EndpointPhase.WARM:
-                return Bounds(
+                return LoadLimits(
                     running=spec.max_running, prompt_tokens=spec.memory_tokens
                 )
             case _:
-                return Bounds(running=0, prompt_tokens=0)
+                return LoadLimits(running=0, prompt_tokens=0)
 
     def note_success(self, spec: Endpoint) -> None:
         """Counts a success, after which the endpoint may bear more."""
@@ -110,7 +112,7 @@
                 self.phase = EndpointPhase.WARMING
                 self.window = spec.cold_max_running + 1
             case EndpointPhase.WARMING:
-                self.window += max(1, self.window // GROWTH_DIVISOR)
+                self.window += max(1, self.window // WINDOW_GROWTH_DIVISOR)
         if self.phase is EndpointPhase.WARMING and (
             self.window >= spec.max_running
         ):
@@ -125,10 +127,10 @@
         """
         if self.successes < spec.warm_after:
             return False
-        most = (1 + UNSEEN_TURNS) * spec.warm_after
-        return self.normal_speed or self.successes >= most
+        most = (1 + MAX_UNDETECTED_RESETS) * spec.warm_after
+        return self.is_normal_speed or self.successes >= most
 
-    def note_trouble(self, spec: Endpoint) -> None:
+    def reduce_window(self, spec: Endpoint) -> None:
         """Halves the load that a warming endpoint may have."""
         if self.phase is EndpointPhase.WARMING:
             self.window = max(spec.cold_max_running, self.window // 2)
@@ -155,36 +157,39 @@
             ratio: First-token time over the expected one.
             slow_ratio: Multiple of the record that counts as trouble.
         """
-        if self.record and ratio > slow_ratio * self.record:
+        if self.baseline_ratio and ratio > slow_ratio * self.baseline_ratio:
             self.slow_answers += 1
-            self.note_trouble(spec)
-            if self.slow_answers >= SLOW_ANSWERS:
+            self.reduce_window(spec)
+            if self.slow_answers >= SLOW_ANSWERS_BEFORE_COLD:
                 self.note_cold(self.boot_id)
             return
         self.slow_answers = 0
         if self.phase is EndpointPhase.COLD:
             self._note_cold_speed(ratio)
             return
-        if not self.record:
-            self.record = ratio
-        self.record += RECORD_WEIGHT * (ratio - self.record)
+        if not self.baseline_ratio:
+            self.baseline_ratio = ratio
+        self.baseline_ratio += BASELINE_EWMA_WEIGHT * (
+            ratio - self.baseline_ratio
+        )
 
     def _note_cold_speed(self, ratio: float) -> None:
-        self.slowest = max(self.slowest, ratio)
-        usual = self.record or 1.0
-        self.normal_speed = (
-            ratio <= NORMAL_RATIO * usual or SPEED_UP * ratio <= self.slowest
+        self.max_cold_ratio = max(self.max_cold_ratio, ratio)
+        usual = self.baseline_ratio or 1.0
+        self.is_normal_speed = (
+            ratio <= MAX_NORMAL_RATIO * usual
+            or WARM_SPEEDUP_RATIO * ratio <= self.max_cold_ratio
         )
 
     def note_empty_report(self) -> None:
         """Takes note of a load report that shows none of the known work."""
         self.empty_reports += 1
-        if self.empty_reports >= EMPTY_REPORTS:
+        if self.empty_reports >= EMPTY_REPORTS_BEFORE_COLD:
             self.note_cold(self.boot_id)
 
-    def adopt(self, hint: EndpointHint) -> None:
+    def inherit(self, hint: EndpointHint) -> None:
         """Takes over what an earlier owner knew of the present start."""
-        if hint.phase not in ADOPTED_PHASES:
+        if hint.phase not in INHERITABLE_PHASES:
             return
         self.phase = EndpointPhase(hint.phase)
         self.boot_id = hint.boot_id
@@ -196,14 +201,14 @@
         self.window = 0
         self.slow_answers = 0
         self.empty_reports = 0
-        self.slowest = 0.0
-        self.normal_speed = True
+        self.max_cold_ratio = 0.0
+        self.is_normal_speed = True
 
 
 __all__ = [
-    "ADOPTED_PHASES",
-    "CLOSED_PHASES",
+    "INHERITABLE_PHASES",
+    "UNSCHEDULABLE_PHASES",
     "STRICT_PHASES",
-    "Bounds",
-    "WarmUp",
+    "LoadLimits",
+    "WarmUpState",
 ]
--- a/src/auburnswitch/endpoints/queue.py
+++ b/src/auburnswitch/endpoints/queue.py
@@ -80,7 +80,7 @@
         """
         waiter = Waiter(request=request, member_id=member_id)
         self.waiters.append(waiter)
-        self.pump()
+        self.grant_waiting()
         try:
             async with asyncio.timeout(max(0.0, request.max_wait_s)):
                 return await waiter.reply
@@ -94,7 +94,7 @@
             if waiter in self.waiters:
                 self.waiters.remove(waiter)
 
-    def pump(self) -> None:
+    def grant_waiting(self) -> None:
         """Grants what fits, in order.
 
         A request that does not fit holds back all later ones but the short
--- a/src/auburnswitch/endpoints/reservation.py
+++ b/src/auburnswitch/endpoints/reservation.py
@@ -8,7 +8,7 @@
 from auburnswitch.schema.peers import LengthClass, RunningWork
 
 if TYPE_CHECKING:
-    from auburnswitch.endpoints.phases import WarmUp
+    from auburnswitch.endpoints.phases import WarmUpState
     from auburnswitch.schema.peers import ReserveRequest
 
 
@@ -25,11 +25,11 @@
         attempt: Attempt that was dispatched, 0 if none is known.
         boot_id: Start of the endpoint that it was granted on.
         generation: How often the endpoint had turned cold before the grant.
-        expected_s: Expected time to the first token, in seconds.
+        expected_first_token_s: Expected time to the first token, in seconds.
         granted_at: When it was granted, in seconds of loop time.
         reported_at: When its holder last reported it, in seconds of loop time.
-        missing: Reports of its holder in a row that lack it.
-        lingering_since: Loop time at which its holder gave it back while the
+        missed_reports: Reports of its holder in a row that lack it.
+        released_at: Loop time at which its holder gave it back while the
             endpoint may still run it, None before that.
         request: The request as asked, if this daemon granted it.
     """
@@ -37,17 +37,17 @@
     __slots__ = (
         "attempt",
         "boot_id",
-        "expected_s",
+        "expected_first_token_s",
         "fingerprint",
         "generation",
         "granted_at",
         "id",
         "length_class",
-        "lingering_since",
         "member_id",
-        "missing",
+        "missed_reports",
         "prefill_tokens",
         "prompt_tokens",
+        "released_at",
         "reported_at",
         "request",
         "request_id",
@@ -83,17 +83,17 @@
         self.attempt = attempt
         self.boot_id = boot_id
         self.generation = generation
-        self.expected_s = 0.0
+        self.expected_first_token_s = 0.0
         self.granted_at = monotonic_s()
         self.reported_at = self.granted_at
-        self.missing = 0
-        self.lingering_since: float | None = None
+        self.missed_reports = 0
+        self.released_at: float | None = None
         self.request: ReserveRequest | None = None
 
     @property
-    def lingering(self) -> bool:
+    def is_released(self) -> bool:
         """Whether its holder has given it back and it may still run."""
-        return self.lingering_since is not None
+        return self.released_at is not None
 
     def to_work(self, endpoint: str) -> RunningWork:
         """Returns the reservation as its holder would report it."""
@@ -111,8 +111,8 @@
         )
 
 
-def reservation_of(
-    work: RunningWork, member_id: str, warm_up: WarmUp
+def reservation_from_report(
+    work: RunningWork, member_id: str, warm_up: WarmUpState
 ) -> Reservation:
     """Builds a reservation from its holder's report."""
     return Reservation(
@@ -131,4 +131,4 @@
     )
 
 
-__all__ = ["Reservation", "reservation_of"]
+__all__ = ["Reservation", "reservation_from_report"]
--- a/src/auburnswitch/endpoints/rebuild.py
+++ b/src/auburnswitch/endpoints/reservation_reconciler.py
@@ -10,17 +10,17 @@
     from collections.abc import Callable
 
     from auburnswitch.endpoints.ledger import EndpointLedger
-    from auburnswitch.endpoints.load import LoadReport
+    from auburnswitch.endpoints.load_report import LoadReport
     from auburnswitch.endpoints.reservation import Reservation
     from auburnswitch.members.view import MemberView
     from auburnswitch.schema.peers import RunningWork
     from auburnswitch.schema.settings import Settings
 
-MISSING_REPORTS: Final = 2
+MAX_MISSED_REPORTS: Final = 2
 _NEVER: Final = float("-inf")
 
 
-class Rebuilder:
+class ReservationReconciler:
     """Adds reported work to ledgers and drops what no one holds.
 
     Attributes:
@@ -52,23 +52,30 @@
         for work in running:
             ledger = self.ledgers.get(work.endpoint)
             if ledger is not None:
-                ledger.note_work(work, member_id)
+                ledger.record_reported_work(work, member_id)
                 reported.add(work.reservation_id)
         for ledger in self.ledgers.values():
             self._note_missing(ledger, member_id, reported)
 
     def note_load(self, ledger: EndpointLedger, report: LoadReport) -> None:
         """Ends the settling of a take-over; frees room of dead holders."""
-        if ledger.settling and self._is_settled(ledger):
-            ledger.settling = False
+        if ledger.recovering and self._is_settled(ledger):
+            ledger.recovering = False
         for reservation in list(ledger.reservations.values()):
-            if reservation.lingering and reservation.boot_id != report.boot_id:
+            if (
+                reservation.is_released
+                and reservation.boot_id != report.boot_id
+            ):
                 ledger.end(reservation.id)  # an earlier start ran it
-        unheld = [r for r in ledger.reservations.values() if self.is_unheld(r)]
+        unheld = [
+            r for r in ledger.reservations.values() if self.is_abandoned(r)
+        ]
         if not unheld:
             return
         held = len(ledger.reservations) - len(unheld)
-        listed = ledger.listed_at > _NEVER  # the list says more than the load
+        listed = (
+            ledger.work_listed_at > _NEVER
+        )  # the list says more than the load
         running = report.running + report.waiting
         if ledger.is_cold and (listed or running > held):
             return
@@ -81,7 +88,7 @@
         members = self.settings.members
         # Work granted by an earlier owner is used within its time to live and
         # is in the next report of its holder and in the next load report.
-        since = ledger.opened_at + members.reservation_ttl_s
+        since = ledger.recovery_started_at + members.reservation_ttl_s
         lag_s = self.settings.endpoints.load_lag_s
         if monotonic_s() < since + lag_s:
             return False
@@ -98,12 +105,12 @@
         newest = monotonic_s() - grace_s
         gone = []
         for reservation in ledger.reservations.values():
-            if reservation.member_id != member_id or reservation.lingering:
+            if reservation.member_id != member_id or reservation.is_released:
                 continue
             if reservation.id in reported or reservation.granted_at > newest:
                 continue
-            reservation.missing += 1
-            if reservation.missing >= MISSING_REPORTS:
+            reservation.missed_reports += 1
+            if reservation.missed_reports >= MAX_MISSED_REPORTS:
                 gone.append(reservation)
         for reservation in gone:
             self._drop(ledger, reservation)
@@ -113,13 +120,13 @@
     def _drop(self, ledger: EndpointLedger, reservation: Reservation) -> None:
         """Drops a reservation that its living holder does not have."""
         if reservation.attempt:
-            reservation.lingering_since = monotonic_s()  # release was lost
+            reservation.released_at = monotonic_s()  # release was lost
         else:
             ledger.end(reservation.id)
 
-    def is_unheld(self, reservation: Reservation) -> bool:
+    def is_abandoned(self, reservation: Reservation) -> bool:
         """Tells whether no living daemon is known to hold a reservation."""
-        if reservation.lingering:
+        if reservation.is_released:
             return True
         if reservation.member_id == self.view.me.id:
             return False
@@ -137,9 +144,9 @@
         lag_s = self.settings.endpoints.load_lag_s
         if reservation.granted_at > monotonic_s() - lag_s:
             return False  # the report may be older than the work
-        if reservation.lingering:
+        if reservation.is_released:
             return True  # the load report shows that it does not run
         return reservation.member_id not in self.view.roster_ids()
 
 
-__all__ = ["Rebuilder"]
+__all__ = ["ReservationReconciler"]
--- a/src/auburnswitch/endpoints/reservations.py
+++ b/src/auburnswitch/endpoints/reservations.py
@@ -6,8 +6,8 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import EndpointFailureError
-from auburnswitch.endpoints.owner_calls import OwnerCalls
-from auburnswitch.endpoints.phases import CLOSED_PHASES, STRICT_PHASES
+from auburnswitch.endpoints.owner_client import OwnerClient
+from auburnswitch.endpoints.phases import STRICT_PHASES, UNSCHEDULABLE_PHASES
 from auburnswitch.observe.invariants import Invariant
 from auburnswitch.schema.peers import (
     Done,
@@ -25,7 +25,7 @@
     from collections.abc import Callable
 
     from auburnswitch.endpoints.client import Attempt
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.members.server import PeerServer
     from auburnswitch.members.service import Membership
 
@@ -44,7 +44,7 @@
         endpoint: Endpoint it is on.
         owner_id: Member that granted it.
         id: Identifies it at the owner.
-        use_before: Loop time after which it must not be used first.
+        dispatch_deadline: Loop time after which it must not be used first.
         boot_id: Start of the endpoint that the owner knew.
         work: What heartbeats report while it is held.
         dispatched_at: Loop time of the dispatch, None before it.
@@ -52,11 +52,11 @@
 
     __slots__ = (
         "boot_id",
+        "dispatch_deadline",
         "dispatched_at",
         "endpoint",
         "id",
         "owner_id",
-        "use_before",
         "work",
     )
 
@@ -65,14 +65,14 @@
         *,
         endpoint: str,
         owner_id: str,
-        use_before: float,
+        dispatch_deadline: float,
         boot_id: str,
         work: RunningWork,
     ) -> None:
         self.endpoint = endpoint
         self.owner_id = owner_id
         self.id = work.reservation_id
-        self.use_before = use_before
+        self.dispatch_deadline = dispatch_deadline
         self.boot_id = boot_id
         self.work = work
         self.dispatched_at: float | None = None
@@ -83,19 +83,21 @@
 
     Attributes:
         held: Reservations by id.
-        calls: Calls to owners.
+        owner_client: Calls to owners.
     """
 
-    __slots__ = ("calls", "held", "membership", "owner_table")
+    __slots__ = ("endpoint_manager", "held", "membership", "owner_client")
 
     def __init__(
-        self, *, owner_table: OwnerTable, membership: Membership
+        self, *, endpoint_manager: EndpointManager, membership: Membership
     ) -> None:
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.membership = membership
         self.held: dict[str, HeldReservation] = {}
-        self.calls = OwnerCalls(
-            owner_table=owner_table, membership=membership, apply=self._apply
+        self.owner_client = OwnerClient(
+            endpoint_manager=endpoint_manager,
+            membership=membership,
+            apply_locally=self._apply,
         )
 
     def register(self, server: PeerServer) -> None:
@@ -113,33 +115,33 @@
             The reservation, or the owner's refusal.
         """
         asked_at = monotonic_s()
-        owner_id = self.owner_table.owner_of(request.endpoint)
-        reply = await self.calls.ask(owner_id, request)
+        owner_id = self.endpoint_manager.owner_of(request.endpoint)
+        reply = await self.owner_client.reserve(owner_id, request)
         for hint in reply.hints:
-            self.owner_table.hints.note(hint)
+            self.endpoint_manager.hints.update(hint)
         if reply.code != ResultCode.OK:
             return reply
-        ttl_s = self.owner_table.settings.members.reservation_ttl_s
+        ttl_s = self.endpoint_manager.settings.members.reservation_ttl_s
         if request.hold:
             ttl_s = float("inf")
         held = HeldReservation(
             endpoint=request.endpoint,
             owner_id=owner_id,
-            use_before=asked_at + reply.waited_s + ttl_s,
+            dispatch_deadline=asked_at + reply.waited_s + ttl_s,
             boot_id=reply.boot_id,
             work=_work_of(request, reply.reservation_id),
         )
         self.held[held.id] = held
         return held
 
-    def hold_unasked(
-        self, work: RunningWork, use_before: float
+    def hold_without_grant(
+        self, work: RunningWork, dispatch_deadline: float
     ) -> HeldReservation:
         """Holds work that no owner has granted; heartbeats report it."""
         held = HeldReservation(
             endpoint=work.endpoint,
             owner_id="",
-            use_before=use_before,
+            dispatch_deadline=dispatch_deadline,
             boot_id="",
             work=work,
         )
@@ -150,9 +152,9 @@
         self, held: HeldReservation, attempt: Attempt
     ) -> Callable[[], None]:
         """Returns the check to make right before the first byte is sent."""
-        return lambda: self.begin(held, attempt)
+        return lambda: self.begin_dispatch(held, attempt)
 
-    def begin(self, held: HeldReservation, attempt: Attempt) -> None:
+    def begin_dispatch(self, held: HeldReservation, attempt: Attempt) -> None:
         """Begins the use of a reservation.
 
         Raises:
@@ -218,13 +220,15 @@
         """Reports the reservations on endpoints that the peer owns."""
         heartbeat.running = self._works_for(peer_id)
 
-    def report_own(self) -> None:
+    def report_local_reservations(self) -> None:
         """Reports this daemon's reservations to its own owner table."""
-        me = self.owner_table.view.me.id
-        self.owner_table.rebuilder.note_report(me, self._works_for(me))
+        me = self.endpoint_manager.view.me.id
+        self.endpoint_manager.reservation_reconciler.note_report(
+            me, self._works_for(me)
+        )
 
     def _works_for(self, member_id: str) -> list[RunningWork]:
-        table = self.owner_table
+        table = self.endpoint_manager
         return [
             held.work
             for held in self.held.values()
@@ -236,35 +240,41 @@
     def _refusal(self, held: HeldReservation, attempt: Attempt) -> str:
         if held.id not in self.held:
             return "the reservation was given back"
-        if held.dispatched_at is None and monotonic_s() > held.use_before:
+        if (
+            held.dispatched_at is None
+            and monotonic_s() > held.dispatch_deadline
+        ):
             return "the reservation has expired"
         if held.work.attempt not in (0, attempt.number):
             return "the reservation is in use"
         if self.membership.is_isolated():
             return "this daemon may have missed changes"
-        if self.owner_table.is_closed(held.endpoint):
+        if self.endpoint_manager.is_unschedulable(held.endpoint):
             return "the endpoint receives no new work"
-        hint = self.owner_table.best_hint(held.endpoint)
-        if hint.phase in CLOSED_PHASES:
+        hint = self.endpoint_manager.latest_hint(held.endpoint)
+        if hint.phase in UNSCHEDULABLE_PHASES:
             return "the endpoint's owner grants no new work"
         if hint.phase not in STRICT_PHASES or not held.owner_id:
             return ""
-        if held.use_before == float("inf") or hint.boot_id != held.boot_id:
+        if (
+            held.dispatch_deadline == float("inf")
+            or hint.boot_id != held.boot_id
+        ):
             return "the endpoint has turned cold since the grant"
         return ""
 
     def _check_freed(self, held: HeldReservation) -> None:
-        ledger = self.owner_table.ledgers.get(held.endpoint)
+        ledger = self.endpoint_manager.ledgers.get(held.endpoint)
         kept = ledger.reservations.get(held.id) if ledger is not None else None
-        self.owner_table.invariants.check(
-            held.id not in self.held and (kept is None or kept.lingering),
+        self.endpoint_manager.invariants.check(
+            held.id not in self.held and (kept is None or kept.is_released),
             Invariant.MEMORY_FREED,
             endpoint=held.endpoint,
         )
 
     def _check_closed(self, endpoint: str) -> None:
-        closed = self.owner_table.closings.phase(endpoint)
-        invariants = self.owner_table.invariants
+        closed = self.endpoint_manager.unschedulable.phase(endpoint)
+        invariants = self.endpoint_manager.invariants
         out = closed is EndpointPhase.OUT
         invariants.check(not out, Invariant.ZONE_OUT, endpoint=endpoint)
         leaving = closed is EndpointPhase.LEAVING
@@ -276,25 +286,25 @@
         granted_by: str,
         request: ReleaseRequest | ProgressRequest,
     ) -> None:
-        members = [self.owner_table.owner_of(endpoint), granted_by]
-        if endpoint in self.owner_table.ledgers:
-            members.insert(0, self.owner_table.view.me.id)
+        members = [self.endpoint_manager.owner_of(endpoint), granted_by]
+        if endpoint in self.endpoint_manager.ledgers:
+            members.insert(0, self.endpoint_manager.view.me.id)
         for member_id in dict.fromkeys(members):
-            await self.calls.send(member_id, request)
+            await self.owner_client.send(member_id, request)
 
     def _apply(self, request: ReleaseRequest | ProgressRequest) -> None:
         match request:
             case ReleaseRequest():
-                self.owner_table.release(request)
+                self.endpoint_manager.release(request)
             case ProgressRequest():
-                self.owner_table.note_progress(
+                self.endpoint_manager.note_progress(
                     request.endpoint,
                     request.reservation_id,
                     request.first_token_s,
                 )
 
     async def _on_reserve(self, request: Any, peer_id: str) -> ReserveReply:
-        return await self.owner_table.reserve(request, peer_id)
+        return await self.endpoint_manager.reserve(request, peer_id)
 
     async def _on_release(self, request: Any, _: str) -> Done:
         self._apply(request)
--- a/src/auburnswitch/endpoints/closing.py
+++ b/src/auburnswitch/endpoints/unschedulable.py
@@ -10,7 +10,7 @@
     from auburnswitch.configuration.state import ConfigState
 
 
-class Closings:
+class UnschedulableEndpoints:
     """Endpoints that are leaving or whose zone is out of service.
 
     Attributes:
@@ -41,7 +41,7 @@
             return EndpointPhase.LEAVING
         return None
 
-    def note_engine(self, endpoint: str, *, leaving: bool) -> None:
+    def note_engine_report(self, endpoint: str, *, leaving: bool) -> None:
         """Takes the engine's own word."""
         if leaving:
             self.leaving_engines.add(endpoint)
@@ -49,4 +49,4 @@
             self.leaving_engines.discard(endpoint)
 
 
-__all__ = ["Closings"]
+__all__ = ["UnschedulableEndpoints"]
--- a/src/auburnswitch/experiments/oracle.py
+++ b/src/auburnswitch/experiments/oracle.py
@@ -42,7 +42,7 @@
         pending: dict[str, dict[str, tuple[float, RoutedRequest]]],
     ) -> None:
         super().__init__(
-            owner_table=placer.owner_table,
+            endpoint_manager=placer.endpoint_manager,
             reservations=placer.reservations,
             policy=placer.policy,
             strikes=placer.strikes,
@@ -61,7 +61,7 @@
                 name
                 for name in self.engines
                 if name not in excluded
-                and not self.owner_table.is_closed(name)
+                and not self.endpoint_manager.is_unschedulable(name)
                 and self._has_room(name, request)
             ]
             if names:
@@ -69,7 +69,9 @@
                 best = min(names, key=lambda n: self._work_before(n, request))
                 self.pending[best][request.id] = (monotonic_s(), request)
                 work = unreserved_work(best, request)
-                return self.reservations.hold_unasked(work, request.deadline_at)
+                return self.reservations.hold_without_grant(
+                    work, request.deadline_at
+                )
             await asyncio.sleep(RETRY_S)
         return refusal(ResultCode.DEADLINE_EXCEEDED)
 
--- a/src/auburnswitch/experiments/placement.py
+++ b/src/auburnswitch/experiments/placement.py
@@ -166,9 +166,9 @@
 
 def _all_warm(fleet: Fleet) -> bool:
     return all(
-        daemon.owner_table.hint(name).phase is EndpointPhase.WARM
+        daemon.endpoint_manager.local_hint(name).phase is EndpointPhase.WARM
         for daemon in fleet.daemons.values()
-        for name in daemon.owner_table.owned()
+        for name in daemon.endpoint_manager.owned()
     )
 
 
--- a/src/auburnswitch/operators/app.py
+++ b/src/auburnswitch/operators/app.py
@@ -26,7 +26,7 @@
 
     from auburnswitch.clock import WallClock
     from auburnswitch.configuration.tickets import TicketStore
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.observe.metrics import Metrics
     from auburnswitch.operators.keys import OperatorKeys
 
@@ -37,7 +37,7 @@
     Attributes:
         keys: Operator keys; without any, no call that needs one is taken.
         tickets: Accepts and reads tickets.
-        owner_table: What is known of the endpoints.
+        endpoint_manager: What is known of the endpoints.
         refuse_new: Returns why new work is refused, or None.
         status: Returns the daemon's status as JSON.
         in_force: Returns the daemons in which a ticket is in force, and
@@ -46,10 +46,10 @@
 
     __slots__ = (
         "clock",
+        "endpoint_manager",
         "in_force",
         "keys",
         "metrics",
-        "owner_table",
         "refuse_new",
         "status",
         "tickets",
@@ -60,7 +60,7 @@
         *,
         keys: OperatorKeys,
         tickets: TicketStore,
-        owner_table: OwnerTable,
+        endpoint_manager: EndpointManager,
         metrics: Metrics,
         clock: WallClock,
         refuse_new: Callable[[], Refusal | None],
@@ -69,7 +69,7 @@
     ) -> None:
         self.keys = keys
         self.tickets = tickets
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.metrics = metrics
         self.clock = clock
         self.refuse_new = refuse_new
@@ -114,10 +114,10 @@
 
     async def _endpoints(self, request: Request) -> Response:
         self._check_key(request)
-        table = self.owner_table
+        table = self.endpoint_manager
         rows = []
         for name, spec in sorted(table.state.endpoints.items()):
-            hint = to_json(table.best_hint(name))
+            hint = to_json(table.latest_hint(name))
             row = {"service": spec.service, "zone": spec.zone, **hint}
             rows.append(row | {"owner": table.owner_of(name)})
         return JSONResponse({"endpoints": rows})
--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -12,8 +12,8 @@
     Attempt,
     EndpointClient,
     EndpointFailureError,
-    ForeignFrame,
-    Frame,
+    MisroutedFrame,
+    StreamFrame,
 )
 from auburnswitch.observe.logs import log_event
 from auburnswitch.schema.events import EventId
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from auburnswitch.endpoints.client import Guard
+    from auburnswitch.endpoints.client import SendGuard
     from auburnswitch.observe.metrics import Metrics
     from auburnswitch.routing.progress import Progress
     from auburnswitch.routing.request import RoutedRequest
@@ -78,7 +78,7 @@
         spec: Endpoint,
         attempt: Attempt,
         progress: Progress,
-        guard: Guard,
+        guard: SendGuard,
     ) -> None:
         self.guard = guard
         self.client = client
@@ -119,7 +119,7 @@
                 self.spec, self.attempt, self.progress.frames
             )
 
-    def _start(self) -> AsyncIterator[list[Frame | ForeignFrame]]:
+    def _start(self) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
         request = self.request
         body = _engine_body(request, self.progress)
         return self.client.stream(
@@ -130,7 +130,7 @@
         return error.lost and error.sent and resumes < MAX_RESUMES
 
     async def _read(
-        self, batches: AsyncIterator[list[Frame | ForeignFrame]]
+        self, batches: AsyncIterator[list[StreamFrame | MisroutedFrame]]
     ) -> AsyncIterator[AnswerText | AnswerEnd]:
         while True:
             batch = await self._next_batch(batches)
@@ -146,8 +146,8 @@
                     return
 
     async def _next_batch(
-        self, batches: AsyncIterator[list[Frame | ForeignFrame]]
-    ) -> list[Frame | ForeignFrame] | None:
+        self, batches: AsyncIterator[list[StreamFrame | MisroutedFrame]]
+    ) -> list[StreamFrame | MisroutedFrame] | None:
         """Returns the next frames, None at the end of the stream.
 
         Raises:
@@ -176,7 +176,7 @@
         prefill_s = self.request.prompt_tokens / rate
         return idle_s + PREFILL_PATIENCE * prefill_s
 
-    def _accept(self, frame: Frame | ForeignFrame) -> bool:
+    def _accept(self, frame: StreamFrame | MisroutedFrame) -> bool:
         """Counts the next frame; tells whether it goes on with the answer.
 
         Raises:
@@ -184,10 +184,10 @@
         """
         expected = self.progress.frames
         match frame:
-            case Frame(sequence=sequence) if sequence == expected:
+            case StreamFrame(sequence=sequence) if sequence == expected:
                 self.progress.frames += 1
                 return True
-            case Frame(sequence=sequence) if sequence > expected:
+            case StreamFrame(sequence=sequence) if sequence > expected:
                 raise EndpointFailureError(
                     "a frame is missing", sent=True, lost=False
                 )
@@ -199,7 +199,7 @@
         )
         return False
 
-    def _end(self, frame: Frame) -> AnswerEnd:
+    def _end(self, frame: StreamFrame) -> AnswerEnd:
         usage = dict(frame.usage or {})
         if self.progress.tokens:  # the endpoint counted what came before
             usage["prompt_tokens"] -= self.progress.tokens
@@ -208,7 +208,7 @@
 
 
 async def _read_rest(
-    batches: AsyncIterator[list[Frame | ForeignFrame]],
+    batches: AsyncIterator[list[StreamFrame | MisroutedFrame]],
 ) -> None:
     """Reads the end of the response, so that its connection is kept."""
     with contextlib.suppress(EndpointFailureError, TimeoutError):
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -104,7 +104,7 @@
         self.budget = budget
         self.limits = limits
         self.groups = groups
-        self.ends = EndChecks(owner_table=placer.owner_table)
+        self.ends = EndChecks(endpoint_manager=placer.endpoint_manager)
 
     async def run(self, request: RoutedRequest) -> AsyncIterator[AnswerPart]:
         """Yields the parts of the answer; the last one is its end."""
@@ -199,7 +199,7 @@
         request: RoutedRequest,
         held: HeldReservation | GroupReservation,
     ) -> None:
-        spec = self.placer.owner_table.state.endpoints.get(held.endpoint)
+        spec = self.placer.endpoint_manager.state.endpoints.get(held.endpoint)
         if spec is not None and held.boot_id:
             await self.crashes.note_lost(request, held, spec)
 
@@ -215,7 +215,7 @@
             EndpointFailureError: The endpoint failed.
             TimeoutError: The deadline passed.
         """
-        spec = self.placer.owner_table.state.endpoints[held.endpoint]
+        spec = self.placer.endpoint_manager.state.endpoints[held.endpoint]
         attempt = Attempt(
             request_id=request.id,
             number=request.attempts,
@@ -265,7 +265,9 @@
         """Cancels an attempt if there is one, then gives its room back."""
         may_still_run = endpoint_lost
         if attempt is not None:
-            spec = self.placer.owner_table.state.endpoints.get(held.endpoint)
+            spec = self.placer.endpoint_manager.state.endpoints.get(
+                held.endpoint
+            )
             freed = spec is not None and await self.client.cancel(spec, attempt)
             may_still_run = not freed
         await self.placer.reservations.release(
--- a/src/auburnswitch/routing/ends.py
+++ b/src/auburnswitch/routing/ends.py
@@ -9,7 +9,7 @@
 from auburnswitch.schema.results import Ran
 
 if TYPE_CHECKING:
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.results import Refusal
     from auburnswitch.routing.answer_stream import AnswerEnd
     from auburnswitch.routing.progress import Progress
@@ -22,17 +22,17 @@
     """What must hold when a request ends.
 
     Attributes:
-        owner_table: Where the invariants and the pauses are known.
+        endpoint_manager: Where the invariants and the pauses are known.
     """
 
-    __slots__ = ("owner_table",)
+    __slots__ = ("endpoint_manager",)
 
-    def __init__(self, *, owner_table: OwnerTable) -> None:
-        self.owner_table = owner_table
+    def __init__(self, *, endpoint_manager: EndpointManager) -> None:
+        self.endpoint_manager = endpoint_manager
 
     def check_refused(self, request: RoutedRequest, refused: Refusal) -> None:
         """Checks that a refusal as not run is true."""
-        self.owner_table.invariants.check(
+        self.endpoint_manager.invariants.check(
             refused.ran != Ran.NO or not request.dispatched,
             Invariant.NOT_RUN,
             request_id=request.id,
@@ -44,7 +44,7 @@
     ) -> None:
         """Checks that every token of an answer was delivered, once."""
         counted = end.usage.get("completion_tokens", 0)
-        self.owner_table.invariants.check(
+        self.endpoint_manager.invariants.check(
             counted == progress.delivered_tokens,
             Invariant.WHOLE_ANSWER,
             request_id=request.id,
@@ -54,7 +54,7 @@
 
     def check_runs(self, request: RoutedRequest) -> None:
         """Checks that a non-idempotent request was attempted once at most."""
-        self.owner_table.invariants.check(
+        self.endpoint_manager.invariants.check(
             request.idempotent or request.attempts <= 1,
             Invariant.AT_MOST_ONCE,
             request_id=request.id,
@@ -69,14 +69,14 @@
             resumed_at: Loop time at which its caller last took a part of the
                 answer, in seconds; a slow caller's time does not count.
         """
-        view = self.owner_table.view
+        view = self.endpoint_manager.view
         now = monotonic_s()
         late_s = now - max(request.deadline_at, resumed_at)
         paused = (
             now - view.ticked_at > view.settings.suspect_after_s
             or view.awake_since > request.deadline_at
         )
-        self.owner_table.invariants.check(
+        self.endpoint_manager.invariants.check(
             late_s <= DEADLINE_SLACK_S or paused,
             Invariant.DEADLINE,
             request_id=request.id,
--- a/src/auburnswitch/routing/group_run.py
+++ b/src/auburnswitch/routing/group_run.py
@@ -188,15 +188,15 @@
         )
 
     async def _free_part(self, held: HeldReservation, attempt: Attempt) -> bool:
-        state = self.groups.placer.owner_table.state
+        state = self.groups.placer.endpoint_manager.state
         spec = state.endpoints.get(held.endpoint)
         if spec is None:
             return False
         cancelled = await self.client.cancel(spec, attempt)
-        return cancelled and await self.client.free_caches(spec, attempt)
+        return cancelled and await self.client.free_kv_caches(spec, attempt)
 
     def _spec(self, held: HeldReservation) -> Endpoint:
-        state = self.groups.placer.owner_table.state
+        state = self.groups.placer.endpoint_manager.state
         spec = state.endpoints.get(held.endpoint)
         if spec is None:
             raise EndpointFailureError(
--- a/src/auburnswitch/routing/groups.py
+++ b/src/auburnswitch/routing/groups.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.endpoints.groups import release_group, reserve_group
-from auburnswitch.endpoints.phases import CLOSED_PHASES, STRICT_PHASES
+from auburnswitch.endpoints.phases import STRICT_PHASES, UNSCHEDULABLE_PHASES
 from auburnswitch.results import Refusal, refusal
 from auburnswitch.routing.lengths import count_tokens
 from auburnswitch.schema.objects import ServiceKind
@@ -66,7 +66,7 @@
 
     def is_needed(self, request: RoutedRequest) -> bool:
         """Tells whether no single endpoint of the service is large enough."""
-        state = self.placer.owner_table.state
+        state = self.placer.endpoint_manager.state
         service = state.services.get(request.service)
         if service is None or service.kind != ServiceKind.MODEL:
             return False
@@ -89,7 +89,7 @@
         prompt = request.body.get("prompt")
         if request.path != COMPLETIONS_PATH or not isinstance(prompt, str):
             return refusal(ResultCode.PROMPT_TOO_LONG, ran=ran)
-        table = self.placer.owner_table
+        table = self.placer.endpoint_manager
         all_names = table.state.endpoints_of(request.service)
         if not self._choose(request, all_names):
             return refusal(ResultCode.PROMPT_TOO_LONG, ran=ran)
@@ -137,7 +137,7 @@
         self, request: RoutedRequest, name: str, segment: str, *, last: bool
     ) -> ReserveRequest:
         left_s = request.time_left_s()
-        settings = self.placer.owner_table.settings.routing
+        settings = self.placer.endpoint_manager.settings.routing
         return ReserveRequest(
             endpoint=name,
             request_id=request.id,
@@ -155,21 +155,21 @@
         )
 
     def _open(self, request: RoutedRequest, excluded: set[str]) -> list[str]:
-        table = self.placer.owner_table
+        table = self.placer.endpoint_manager
         return [
             name
             for name in table.state.endpoints_of(request.service)
             if name not in excluded
-            and not table.is_closed(name)
-            and table.best_hint(name).phase not in CLOSED_PHASES
-            and table.best_hint(name).phase not in STRICT_PHASES
+            and not table.is_unschedulable(name)
+            and table.latest_hint(name).phase not in UNSCHEDULABLE_PHASES
+            and table.latest_hint(name).phase not in STRICT_PHASES
         ]
 
     def _choose(self, request: RoutedRequest, names: list[str]) -> list[str]:
         """Returns the fewest least loaded endpoints that are enough."""
-        table = self.placer.owner_table
+        table = self.placer.endpoint_manager
         share = 1 - table.settings.routing.short_memory_share
-        ordered = sorted(names, key=lambda n: table.best_hint(n).long_wait_s)
+        ordered = sorted(names, key=lambda n: table.latest_hint(n).long_wait_s)
         for count in range(2, min(MAX_PARTS, len(ordered)) + 1):
             chosen = ordered[:count]
             room = min(table.state.endpoints[n].memory_tokens for n in chosen)
--- a/src/auburnswitch/routing/placement.py
+++ b/src/auburnswitch/routing/placement.py
@@ -10,7 +10,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.backlog import CHUNK_DELAY_S
-from auburnswitch.endpoints.phases import CLOSED_PHASES, STRICT_PHASES
+from auburnswitch.endpoints.phases import STRICT_PHASES, UNSCHEDULABLE_PHASES
 from auburnswitch.endpoints.reservations import (
     HeldReservation,
     ReservationClient,
@@ -32,7 +32,7 @@
 from auburnswitch.schema.results import Ran, ResultCode
 
 if TYPE_CHECKING:
-    from auburnswitch.endpoints.owner import OwnerTable
+    from auburnswitch.endpoints.endpoint_manager import EndpointManager
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.routing.strikes import StrikeBook
 
@@ -60,24 +60,30 @@
     """Finds room for requests by hints and owners' answers.
 
     Attributes:
-        owner_table: Hints and ownership.
+        endpoint_manager: Hints and ownership.
         reservations: This daemon's reservations.
         policy: How the endpoint is chosen.
         strikes: Requests that were in flight at crashes.
     """
 
-    __slots__ = ("owner_table", "policy", "random", "reservations", "strikes")
+    __slots__ = (
+        "endpoint_manager",
+        "policy",
+        "random",
+        "reservations",
+        "strikes",
+    )
 
     def __init__(
         self,
         *,
-        owner_table: OwnerTable,
+        endpoint_manager: EndpointManager,
         reservations: ReservationClient,
         policy: PlacementPolicy,
         strikes: StrikeBook,
         seed: int,
     ) -> None:
-        self.owner_table = owner_table
+        self.endpoint_manager = endpoint_manager
         self.policy = policy
         self.strikes = strikes
         self.reservations = reservations
@@ -112,10 +118,10 @@
         sample = self.random.sample(names, min(choices, len(names)))
         best = min(sample, key=self._reported_tokens)
         work = unreserved_work(best, request)
-        return self.reservations.hold_unasked(work, request.deadline_at)
+        return self.reservations.hold_without_grant(work, request.deadline_at)
 
     def _reported_tokens(self, name: str) -> int:
-        return self.owner_table.best_hint(name).reported_prefill_tokens
+        return self.endpoint_manager.latest_hint(name).reported_prefill_tokens
 
     async def _ask_owners(
         self, request: RoutedRequest, excluded: set[str]
@@ -199,9 +205,9 @@
 
     def _is_too_cold(self, request: RoutedRequest, name: str) -> bool:
         """Tells whether an endpoint is cold and the prompt too long for it."""
-        if self.owner_table.best_hint(name).phase != EndpointPhase.COLD:
+        if self.endpoint_manager.latest_hint(name).phase != EndpointPhase.COLD:
             return False
-        spec = self.owner_table.state.endpoints[name]
+        spec = self.endpoint_manager.state.endpoints[name]
         return request.prompt_tokens > spec.cold_max_tokens
 
     def _wait_limit_s(self, request: RoutedRequest, names: list[str]) -> float:
@@ -214,9 +220,9 @@
         return self._hint_age_s(name) <= FRESH_S
 
     def _hint_age_s(self, name: str) -> float:
-        if self.owner_table.owns(name):
+        if self.endpoint_manager.owns(name):
             return 0.0
-        return self.owner_table.hints.age_s(name)
+        return self.endpoint_manager.hints.age_s(name)
 
     def _starts_too_late(
         self, request: RoutedRequest, excluded: set[str]
@@ -230,13 +236,13 @@
         self, request: RoutedRequest, excluded: set[str]
     ) -> list[str]:
         """Returns the endpoints that receive new work."""
-        table = self.owner_table
+        table = self.endpoint_manager
         return [
             name
             for name in table.state.endpoints_of(request.service)
             if name not in excluded
-            and not table.is_closed(name)
-            and table.best_hint(name).phase not in CLOSED_PHASES
+            and not table.is_unschedulable(name)
+            and table.latest_hint(name).phase not in UNSCHEDULABLE_PHASES
         ]
 
     def _candidates(
@@ -263,14 +269,15 @@
         warm = [
             name
             for name in names
-            if self.owner_table.best_hint(name).phase not in STRICT_PHASES
+            if self.endpoint_manager.latest_hint(name).phase
+            not in STRICT_PHASES
         ]
         key = request.fingerprint
         return sorted(warm or names, key=lambda name: _rank(key, name))
 
     def _wait_s(self, request: RoutedRequest, name: str) -> float:
         """Returns the wait that the newest hint of an endpoint promises."""
-        hint = self.owner_table.best_hint(name)
+        hint = self.endpoint_manager.latest_hint(name)
         age_s = self._hint_age_s(name)
         wait_s = hint.short_wait_s
         if request.length_class is not LengthClass.SHORT:
@@ -306,12 +313,12 @@
                 max_start_wait_s=limit_s,
                 waited_s=waited_s,
                 service=request.service,
-                epoch=table_epoch(self.owner_table),
+                epoch=table_epoch(self.endpoint_manager),
             )
         )
 
 
-def table_epoch(table: OwnerTable) -> int:
+def table_epoch(table: EndpointManager) -> int:
     """Returns the roster epoch that the owner table goes by."""
     return table.view.roster.epoch
 
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -109,7 +109,7 @@
         self.member_id = member_id
         self.invariants = invariants
         self.limits = limits
-        self.ends = EndChecks(owner_table=placer.owner_table)
+        self.ends = EndChecks(endpoint_manager=placer.endpoint_manager)
 
     async def run(
         self, request: RoutedRequest, call: PlainCall
@@ -221,7 +221,7 @@
         held: HeldReservation,
         send_before: float,
     ) -> PlainAnswer:
-        spec = self.placer.owner_table.state.endpoints[held.endpoint]
+        spec = self.placer.endpoint_manager.state.endpoints[held.endpoint]
         attempt = Attempt(
             request_id=request.id,
             number=request.attempts,
--- a/tests/endpoints/bench.py
+++ b/tests/endpoints/fleet_harness.py
@@ -28,7 +28,7 @@
 BYTES_PER_TOKEN = 4
 
 
-class ColdWatch:
+class ColdLoadRecorder:
     """Notes the most work that an engine had while it was cold.
 
     Attributes:
@@ -40,7 +40,7 @@
         self.engine = engine
         self.running = 0
         self.tokens = 0
-        engine.batch.observer = WatchedEngine(engine, self)
+        engine.batch.observer = RecordingEngineProxy(engine, self)
 
     def note(self) -> None:
         """Notes the work if the engine is cold."""
@@ -52,10 +52,10 @@
         self.tokens = max(self.tokens, tokens)
 
 
-class WatchedEngine:
+class RecordingEngineProxy:
     """Passes what a batch tells its engine on, and watches it."""
 
-    def __init__(self, engine: EngineStandIn, watch: ColdWatch) -> None:
+    def __init__(self, engine: EngineStandIn, watch: ColdLoadRecorder) -> None:
         self.engine = engine
         self.watch = watch
 
@@ -65,7 +65,7 @@
         return getattr(self.engine, name)
 
 
-class Bench:
+class FleetHarness:
     """A fleet and its callers.
 
     Attributes:
@@ -77,7 +77,9 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.watches = {n: ColdWatch(e) for n, e in fleet.engines.items()}
+        self.watches = {
+            n: ColdLoadRecorder(e) for n, e in fleet.engines.items()
+        }
         self.statuses: list[int] = []
         self.sent = 0
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -112,14 +114,14 @@
     def owner_of(self, endpoint: str) -> str:
         """Returns the instance whose daemon owns an endpoint."""
         for instance, daemon in self.fleet.daemons.items():
-            if daemon.owner_table.owns(endpoint):
+            if daemon.endpoint_manager.owns(endpoint):
                 return instance
         raise LookupError(endpoint)
 
     def phase(self, endpoint: str) -> str:
         """Returns the phase that the owner sees."""
         daemon = self.fleet.daemons[self.owner_of(endpoint)]
-        return daemon.owner_table.best_hint(endpoint).phase.name
+        return daemon.endpoint_manager.latest_hint(endpoint).phase.name
 
     async def wait_phase(self, endpoint: str, *names: str) -> None:
         """Waits until the owner sees one of some phases."""
@@ -190,12 +192,12 @@
 
 
 @contextlib.asynccontextmanager
-async def open_bench(**options: Any) -> AsyncIterator[Bench]:
+async def open_harness(**options: Any) -> AsyncIterator[FleetHarness]:
     """Opens a fleet in virtual time; needs a `FreezableLoop`."""
     options.setdefault("plain_services", 0)
     fleet_options = FleetOptions(connector=SimulatedConnector, **options)
     async with open_fleet(fleet_options) as fleet:
-        bench = Bench(fleet)
+        bench = FleetHarness(fleet)
         yield bench
         for instance, daemon in fleet.daemons.items():
             violations = daemon.invariants.violations
@@ -207,4 +209,4 @@
     return int(instance.rpartition("-")[2])
 
 
-__all__ = ["Bench", "number_of", "open_bench"]
+__all__ = ["FleetHarness", "number_of", "open_harness"]
--- a/tests/endpoints/owners.py
+++ b/tests/endpoints/manager_support.py
@@ -6,8 +6,8 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.configuration.state import ConfigState
-from auburnswitch.endpoints.load import LoadReport
-from auburnswitch.endpoints.owner import OwnerTable
+from auburnswitch.endpoints.endpoint_manager import EndpointManager
+from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.endpoints.reservations import ReservationClient
 from auburnswitch.members.view import MemberView
 from auburnswitch.observe.invariants import Invariants
@@ -72,13 +72,15 @@
     ]
 
 
-def open_table(*, settled: bool = True, **values: Any) -> OwnerTable:
+def make_endpoint_manager(
+    *, settled: bool = True, **values: Any
+) -> EndpointManager:
     """Returns the owner table of a daemon without peers."""
     settings = Settings()
     view = MemberView(me=Member(id="me"), settings=settings.members)
     state = ConfigState()
     state.join_ticket(Ticket(number=1, changes=changes(endpoint(**values))))
-    table = OwnerTable(
+    table = EndpointManager(
         settings=settings,
         view=view,
         state=state,
@@ -87,17 +89,19 @@
     )
     table.note_load(ENGINE, LoadReport(boot_id="b1"), monotonic_s())
     ledger = table.ledgers[ENGINE]
-    ledger.settling = not settled
-    ledger.listed_at = monotonic_s() if settled else float("-inf")
+    ledger.recovering = not settled
+    ledger.work_listed_at = monotonic_s() if settled else float("-inf")
     return table
 
 
-def client_of(table: OwnerTable) -> ReservationClient:
+def make_reservation_client(table: EndpointManager) -> ReservationClient:
     """Returns the reservation client beside an owner table."""
-    return ReservationClient(owner_table=table, membership=FakeMembership())
+    return ReservationClient(
+        endpoint_manager=table, membership=FakeMembership()
+    )
 
 
-def ask(**values: Any) -> ReserveRequest:
+def make_reserve_request(**values: Any) -> ReserveRequest:
     """Returns a request for room."""
     options = {"prompt_tokens": 1000, "answer_tokens": 16, **values}
     return ReserveRequest(endpoint=ENGINE, **options)
@@ -107,9 +111,9 @@
     "ENGINE",
     "FakeMembership",
     "FakeRights",
-    "ask",
+    "make_reserve_request",
     "changes",
-    "client_of",
+    "make_reservation_client",
     "endpoint",
-    "open_table",
+    "make_endpoint_manager",
 ]
--- a/tests/endpoints/test_backlog.py
+++ b/tests/endpoints/test_backlog.py
@@ -5,8 +5,8 @@
 import asyncio
 import unittest
 
-from auburnswitch.endpoints.admission import has_room, predicted_wait_s
-from auburnswitch.endpoints.backlog import CHUNK_DELAY_S, OVERDUE_S
+from auburnswitch.endpoints.admission import has_capacity, predicted_wait_s
+from auburnswitch.endpoints.backlog import CHUNK_DELAY_S, MIN_REMAINING_S
 from auburnswitch.endpoints.ledger import EndpointLedger
 from auburnswitch.schema.objects import Endpoint
 from auburnswitch.schema.peers import LengthClass, ReserveRequest
@@ -38,8 +38,8 @@
         now, later = run_virtual(scenario)
         self.assertAlmostEqual(now[0], 0.25)  # a chunk of the long one, too
         self.assertAlmostEqual(now[1], 10.25)
-        self.assertAlmostEqual(later[0], OVERDUE_S)
-        self.assertAlmostEqual(later[1], 9.25 + OVERDUE_S)
+        self.assertAlmostEqual(later[0], MIN_REMAINING_S)
+        self.assertAlmostEqual(later[1], 9.25 + MIN_REMAINING_S)
 
     def test_long_prompt_in_prefill_gives_way_late(self):
         async def scenario():
@@ -64,7 +64,7 @@
             ledger = make_ledger()
             for number, one in enumerate(granted):
                 ledger.grant(request(*one), "m", str(number))
-            return has_room(ledger, request(*asked), RoutingSettings())
+            return has_capacity(ledger, request(*asked), RoutingSettings())
 
         return run_virtual(scenario)
 
--- a/tests/endpoints/test_cold_bound.py
+++ b/tests/endpoints/test_cold_bound.py
@@ -7,7 +7,7 @@
 
 from auburnswitch.experiments.freezing import FreezableLoop
 from auburnswitch.standins.engine_model import EngineOptions
-from tests.endpoints.bench import Bench, number_of, open_bench
+from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
 from tests.virtual_time import run_virtual
 
 BOUND = 2
@@ -30,7 +30,7 @@
 
 
 class ColdBoundTest(unittest.TestCase):
-    def check(self, bench: Bench) -> None:
+    def check(self, bench: FleetHarness) -> None:
         """Checks that the bound was reached and never passed."""
         self.assertEqual(bench.crashes(), [])
         self.assertEqual(bench.watches[ENGINE].running, BOUND)
@@ -41,7 +41,7 @@
         """Runs a scenario on a fleet with cold engines under load."""
 
         async def run():
-            async with open_bench(**stay_cold()) as bench:
+            async with open_harness(**stay_cold()) as bench:
                 await bench.load(10, RATE, answer=ANSWER_TOKENS)
                 await scenario(bench)
                 served = bench.statuses.count(200)
--- a/tests/endpoints/test_cold_turns.py
+++ b/tests/endpoints/test_cold_turns.py
@@ -5,7 +5,7 @@
 import unittest
 
 from auburnswitch.experiments.freezing import FreezableLoop
-from tests.endpoints.bench import Bench, open_bench
+from tests.endpoints.fleet_harness import FleetHarness, open_harness
 from tests.virtual_time import run_virtual
 
 BOUND = 2
@@ -13,11 +13,11 @@
 
 
 class ColdTurnTest(unittest.TestCase):
-    def run_turn(self, turn) -> Bench:
+    def run_turn(self, turn) -> FleetHarness:
         """Turns a warm engine cold under load until it is warm again."""
 
         async def run():
-            async with open_bench(daemons=5, engines=3) as bench:
+            async with open_harness(daemons=5, engines=3) as bench:
                 await bench.warm_up()
                 await bench.load(3, 10)
                 turn(bench.fleet.engines[ENGINE])
--- a/tests/endpoints/test_orders.py
+++ b/tests/endpoints/test_engine_reconciler.py
@@ -10,9 +10,9 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import EndpointClient
-from auburnswitch.endpoints.fencing import FencingNumbers
-from auburnswitch.endpoints.orders import OrderKeeper
-from auburnswitch.endpoints.weights import LoadAdmission
+from auburnswitch.endpoints.engine_reconciler import EngineReconciler
+from auburnswitch.endpoints.fencing import FencingNumberAllocator
+from auburnswitch.endpoints.model_load_limiter import ModelLoadLimiter
 from auburnswitch.experiments.fleet import MODEL, FleetOptions
 from auburnswitch.experiments.freezing import FreezableLoop
 from auburnswitch.object_store.store import ObjectStore
@@ -24,14 +24,14 @@
 from auburnswitch.standins.history import HistoryKind
 from auburnswitch.standins.platform import open_platform
 from auburnswitch.standins.weights import open_weight_store
-from tests.endpoints.bench import Bench, number_of, open_bench
-from tests.endpoints.owners import ENGINE, open_table
+from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
+from tests.endpoints.manager_support import ENGINE, make_endpoint_manager
 from tests.virtual_time import open_session, run_virtual
 
 ZONE = FleetOptions().zones[0]
 
 
-def want(bench: Bench, version: str) -> Change:
+def want(bench: FleetHarness, version: str) -> Change:
     """Returns the change that asks for a model version."""
     engine = bench.fleet.engines[ENGINE]
     host, _, port = engine.url.removeprefix("http://").partition(":")
@@ -45,7 +45,7 @@
     return Change(kind=ObjectKind.ENDPOINT, name=ENGINE, endpoint=spec)
 
 
-async def wait_version(bench: Bench, version: str) -> None:
+async def wait_version(bench: FleetHarness, version: str) -> None:
     """Waits until the engine has loaded a version."""
     async with asyncio.timeout(60):
         while bench.fleet.engines[ENGINE].orders.version != version:
@@ -58,10 +58,10 @@
     def __init__(self, rights) -> None:
         self.rights = rights
 
-    async def next_number(self, _, *, above=0):
+    async def allocate(self, _, *, last_seen=0):
         """Takes a number and loses the rights."""
         self.rights.strict = False
-        return Ok(above + 1)
+        return Ok(last_seen + 1)
 
 
 @contextlib.asynccontextmanager
@@ -74,13 +74,13 @@
         open_task_set() as tasks,
     ):
         port = engine.url.rpartition(":")[2]
-        table = open_table(model_version="v2", port=int(port))
+        table = make_endpoint_manager(model_version="v2", port=int(port))
         settings = EndpointsSettings(weight_store_url=weight_url)
-        keeper = OrderKeeper(
-            owner_table=table,
+        keeper = EngineReconciler(
+            endpoint_manager=table,
             client=EndpointClient(session=session, settings=settings),
-            numbers=numbers_of(table, session),
-            admission=LoadAdmission(
+            fencing_numbers=numbers_of(table, session),
+            load_limiter=ModelLoadLimiter(
                 settings=settings, session=session, count_daemons=lambda: 1
             ),
             tasks=tasks,
@@ -92,7 +92,7 @@
 class OrderTest(unittest.TestCase):
     def test_numbers_rise_over_a_take_over(self):
         async def scenario():
-            async with open_bench(daemons=4, engines=1) as bench:
+            async with open_harness(daemons=4, engines=1) as bench:
                 ticket = bench.fleet.ticket([want(bench, "v2")])
                 await bench.fleet.apply(ticket)
                 await wait_version(bench, "v2")
@@ -109,9 +109,9 @@
                 applied = bench.fleet.history.select(HistoryKind.ORDER_APPLIED)
                 return version, [r.fields["fencing_number"] for r in applied]
 
-        version, numbers = run_virtual(scenario, FreezableLoop)
+        version, fencing_numbers = run_virtual(scenario, FreezableLoop)
         self.assertEqual(version, "v3")
-        self.assertEqual(numbers, [1, 2])
+        self.assertEqual(fencing_numbers, [1, 2])
 
     def test_no_order_once_the_rights_have_run_out(self):
         async def scenario():
@@ -132,13 +132,18 @@
             async with open_platform() as platform, open_session() as session:
                 settings = PlatformSettings(url=platform.url)
                 store = ObjectStore(settings=settings, session=session)
-                numbers = FencingNumbers(store=store, member_id="me")
-                async with open_keeper(lambda *_: numbers) as (engine, _):
+                fencing_numbers = FencingNumberAllocator(
+                    store=store, member_id="me"
+                )
+                async with open_keeper(lambda *_: fencing_numbers) as (
+                    engine,
+                    _,
+                ):
                     engine.orders.fencing_number = 7
                     await asyncio.sleep(10)
                     found = engine.orders.version, engine.orders.fencing_number
                     platform.lose_answers = 1
-                    taken = await numbers.next_number(ENGINE)
+                    taken = await fencing_numbers.allocate(ENGINE)
                     return *found, taken
 
         version, number, taken = run_virtual(scenario)
@@ -150,7 +155,7 @@
             class Numbers:
                 number = 0
 
-                async def next_number(self, _, *, above=0):
+                async def allocate(self, _, *, last_seen=0):
                     self.number += 1
                     return Ok(self.number)
 
@@ -170,7 +175,7 @@
             async with open_weight_store(burst_loads=1) as weights:
                 async with open_session() as session:
                     settings = EndpointsSettings(weight_store_url=weights.url)
-                    admission = LoadAdmission(
+                    load_limiter = ModelLoadLimiter(
                         settings=settings,
                         session=session,
                         count_daemons=lambda: 3,
@@ -178,7 +183,7 @@
                     granted = 0
                     end_at = monotonic_s() + 60
                     while monotonic_s() < end_at:
-                        granted += await admission.may_load("m", "v2")
+                        granted += await load_limiter.may_load("m", "v2")
                         await asyncio.sleep(0.5)
                 return granted, weights.refused
 
--- a/tests/endpoints/test_groups.py
+++ b/tests/endpoints/test_groups.py
@@ -7,7 +7,7 @@
 
 from auburnswitch.endpoints.client import Attempt
 from auburnswitch.endpoints.groups import release_group, reserve_group
-from auburnswitch.endpoints.load import LoadReport
+from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.endpoints.reservations import (
     DispatchRefusedError,
     ReservationClient,
@@ -20,7 +20,11 @@
     ReserveRequest,
 )
 from auburnswitch.schema.results import ResultCode
-from tests.endpoints.owners import FakeMembership, endpoint, open_table
+from tests.endpoints.manager_support import (
+    FakeMembership,
+    endpoint,
+    make_endpoint_manager,
+)
 from tests.virtual_time import run_virtual
 
 NAMES = ("engine-0", "engine-1", "engine-2")
@@ -50,7 +54,7 @@
         """Runs a scenario on the owner of three warm engines."""
 
         async def run():
-            table = open_table()
+            table = make_endpoint_manager()
             changes = [
                 Change(kind=ObjectKind.ENDPOINT, name=name, endpoint=endpoint())
                 for name in NAMES
@@ -59,8 +63,10 @@
             for name in NAMES:
                 table.note_load(name, LoadReport(boot_id="b1"), 0.0)
                 table.ledgers[name].warm_up.phase = EndpointPhase.WARM
-                table.ledgers[name].settling = False
-            client = SlowClient(owner_table=table, membership=FakeMembership())
+                table.ledgers[name].recovering = False
+            client = SlowClient(
+                endpoint_manager=table, membership=FakeMembership()
+            )
             async with open_task_set() as tasks:
                 client.membership.tasks = tasks
                 return await scenario(table, client)
@@ -75,10 +81,10 @@
         async def scenario(table, client):
             group = await reserve_group(client, parts(*reversed(NAMES)))
             await asyncio.sleep(60)
-            client.report_own()
-            client.report_own()
+            client.report_local_reservations()
+            client.report_local_reservations()
             for held in group:
-                client.begin(held, ATTEMPT)
+                client.begin_dispatch(held, ATTEMPT)
             during = self.held_tokens(table)
             release_group(client, group, succeeded=True)
             await asyncio.sleep(0)
@@ -141,7 +147,7 @@
             group = await reserve_group(client, parts(*NAMES))
             table.note_load(NAMES[0], LoadReport(boot_id="b2"), 0.0)
             with self.assertRaises(DispatchRefusedError):
-                client.begin(group[0], ATTEMPT)
+                client.begin_dispatch(group[0], ATTEMPT)
             release_group(client, group)
             await asyncio.sleep(0)
             return (await reserve_group(client, parts(*NAMES))).code
--- a/tests/endpoints/test_handover.py
+++ b/tests/endpoints/test_handover.py
@@ -7,12 +7,15 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.handover import Handover
-from auburnswitch.endpoints.load import LoadReport
+from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.experiments.freezing import FreezableLoop
 from auburnswitch.schema.peers import EndpointPhase, HandoverRequest
 from auburnswitch.standins.history import HistoryKind
-from tests.endpoints.bench import number_of, open_bench
-from tests.endpoints.owners import ask, open_table
+from tests.endpoints.fleet_harness import number_of, open_harness
+from tests.endpoints.manager_support import (
+    make_endpoint_manager,
+    make_reserve_request,
+)
 from tests.endpoints.test_cold_bound import stay_cold
 from tests.virtual_time import run_virtual
 
@@ -23,15 +26,18 @@
 class HandoverTest(unittest.TestCase):
     def test_successor_knows_phase_and_reservations(self):
         async def scenario():
-            old, new = open_table(), open_table(settled=False)
+            old, new = (
+                make_endpoint_manager(),
+                make_endpoint_manager(settled=False),
+            )
             warm_up = old.ledgers[ENGINE].warm_up
             warm_up.phase, warm_up.successes = EndpointPhase.WARMING, 9
             warm_up.window = 5
-            await old.reserve(ask(), "peer")
+            await old.reserve(make_reserve_request(), "peer")
             new.ledgers.clear()
             request = HandoverRequest(endpoints=[ENGINE])
-            Handover(owner_table=old).fill(request)
-            Handover(owner_table=new).take(request)
+            Handover(endpoint_manager=old).fill_request(request)
+            Handover(endpoint_manager=new).apply_request(request)
             new.note_load(ENGINE, LoadReport(boot_id="b1"), 0.0)
             ledger = new.ledgers[ENGINE]
             held = [r.member_id for r in ledger.reservations.values()]
@@ -43,7 +49,7 @@
 
     def test_warm_endpoint_stays_warm(self):
         async def scenario():
-            async with open_bench(daemons=3, engines=1) as bench:
+            async with open_harness(daemons=3, engines=1) as bench:
                 await bench.warm_up()
                 owner = bench.owner_of(ENGINE)
                 load = asyncio.create_task(bench.load(8, 4))
@@ -52,7 +58,9 @@
                 await load
                 await bench.finish()
                 cold = bench.fleet.daemons[bench.owner_of(ENGINE)]
-                generation = cold.owner_table.ledgers[ENGINE].warm_up.generation
+                generation = cold.endpoint_manager.ledgers[
+                    ENGINE
+                ].warm_up.generation
                 return set(bench.statuses), generation
 
         # One cold turn: the ledger's beginning, before it adopts the word.
@@ -60,7 +68,7 @@
 
     def test_cold_endpoint_is_used_again_soon(self):
         async def scenario():
-            async with open_bench(**stay_cold()) as bench:
+            async with open_harness(**stay_cold()) as bench:
                 await bench.load(10, 2, answer=16)
                 owner = bench.owner_of(ENGINE)
                 await bench.fleet.stop_daemon(number_of(owner))
--- a/tests/endpoints/test_orphans.py
+++ b/tests/endpoints/test_orphans.py
@@ -11,7 +11,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import EndpointClient
-from auburnswitch.endpoints.load import LoadReport
+from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.endpoints.orphans import OrphanCollector
 from auburnswitch.experiments.freezing import FreezableLoop
 from auburnswitch.schema.objects import Member, Roster
@@ -20,8 +20,12 @@
 from auburnswitch.schema.settings import EndpointsSettings
 from auburnswitch.standins.engine import open_engine
 from auburnswitch.standins.history import HistoryKind, HistoryRecord
-from tests.endpoints.bench import Bench, number_of, open_bench
-from tests.endpoints.owners import ask, client_of, open_table
+from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
+from tests.endpoints.manager_support import (
+    make_endpoint_manager,
+    make_reservation_client,
+    make_reserve_request,
+)
 from tests.virtual_time import open_session, run_virtual
 
 if TYPE_CHECKING:
@@ -33,7 +37,7 @@
 KV_CACHE = {"request_id": "gone", "attempt": 1, "prompt": "word" * 500}
 
 
-async def wait_empty(bench: Bench) -> float:
+async def wait_empty(bench: FleetHarness) -> float:
     """Returns the time until the engine's memory is free, in seconds."""
     start = monotonic_s()
     engine = bench.fleet.engines[ENGINE]
@@ -43,7 +47,7 @@
     return monotonic_s() - start
 
 
-async def hold_work(bench: Bench, entry: str) -> None:
+async def hold_work(bench: FleetHarness, entry: str) -> None:
     """Waits until two long answers run that came through one daemon."""
     for _ in range(2):
         bench.send(entry, answer=LONG_ANSWER)
@@ -67,7 +71,7 @@
             await response.read()
 
 
-def cancelled(bench: Bench) -> list[HistoryRecord]:
+def cancelled(bench: FleetHarness) -> list[HistoryRecord]:
     """Returns the cancellations that engines have carried out."""
     return list(bench.fleet.history.select(HistoryKind.REQUEST_CANCELLED))
 
@@ -92,12 +96,12 @@
 async def open_survey():
     """Opens an engine that runs a member's work, and the owner's collector."""
     async with open_engine(name=ENGINE) as engine, open_session() as web:
-        table = open_table(port=int(engine.url.rpartition(":")[2]))
+        table = make_endpoint_manager(port=int(engine.url.rpartition(":")[2]))
         members = [Member(id="me"), Member(id="p")]
         table.view.note_roster(Roster(epoch=1, members=members))
         collector = OrphanCollector(
-            owner_table=table,
-            reservations=client_of(table),
+            endpoint_manager=table,
+            reservations=make_reservation_client(table),
             client=EndpointClient(session=web, settings=EndpointsSettings()),
         )
         table.ledgers[ENGINE].load = LoadReport(boot_id="b1", running=1)
@@ -111,13 +115,17 @@
     def test_listed_work_counts_against_the_cold_bound(self):
         async def scenario():
             async with open_survey() as (_, collector):
-                table = collector.owner_table
+                table = collector.endpoint_manager
                 ledger = table.ledgers[ENGINE]
-                ledger.listed_at = float("-inf")
-                codes = [(await table.reserve(ask(), "me")).code]
-                await collector.compare(ledger)
+                ledger.work_listed_at = float("-inf")
+                codes = [
+                    (await table.reserve(make_reserve_request(), "me")).code
+                ]
+                await collector.collect_if_due(ledger)
                 for _ in range(2):
-                    codes.append((await table.reserve(ask(), "me")).code)
+                    codes.append(
+                        (await table.reserve(make_reserve_request(), "me")).code
+                    )
                 return codes
 
         self.assertEqual(
@@ -134,15 +142,15 @@
             async with open_survey() as (engine, collector):
                 link = ClaimingLink()
                 collector.reservations.membership.links["p"] = link
-                ledger = collector.owner_table.ledgers[ENGINE]
+                ledger = collector.endpoint_manager.ledgers[ENGINE]
                 used = []
                 for claims in (True, False):
                     link.claims = claims
                     for _ in range(6):
-                        peer = collector.owner_table.view.peers["p"]
+                        peer = collector.endpoint_manager.view.peers["p"]
                         peer.heard_at = monotonic_s()
                         await asyncio.sleep(2)
-                        await collector.compare(ledger)
+                        await collector.collect_if_due(ledger)
                     used.append(engine.batch.memory_used > 0)
                 return used
 
@@ -154,7 +162,7 @@
         """Runs a scenario on one engine and five daemons."""
 
         async def run():
-            async with open_bench(daemons=5, engines=1, **options) as bench:
+            async with open_harness(daemons=5, engines=1, **options) as bench:
                 return await scenario(bench)
 
         return run_virtual(run, FreezableLoop)
@@ -229,7 +237,7 @@
         self.assertEqual(self.run_bench(scenario, tune=tune), ([200, 200], []))
 
 
-async def wait_empty_of(bench: Bench, entry: str) -> float:
+async def wait_empty_of(bench: FleetHarness, entry: str) -> float:
     """Returns the time until no stream of a daemon is left, in seconds."""
     start = monotonic_s()
     engine = bench.fleet.engines[ENGINE]
--- a/tests/endpoints/test_phases.py
+++ b/tests/endpoints/test_phases.py
@@ -10,7 +10,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import Attempt
-from auburnswitch.endpoints.load import LoadReport
+from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.endpoints.reservations import DispatchRefusedError
 from auburnswitch.schema.objects import Ticket
 from auburnswitch.schema.peers import (
@@ -19,13 +19,13 @@
     ReleaseRequest,
 )
 from auburnswitch.schema.results import ResultCode
-from tests.endpoints.owners import (
+from tests.endpoints.manager_support import (
     ENGINE,
-    ask,
     changes,
-    client_of,
     endpoint,
-    open_table,
+    make_endpoint_manager,
+    make_reservation_client,
+    make_reserve_request,
 )
 from tests.virtual_time import run_virtual
 
@@ -38,8 +38,8 @@
     """Runs requests on one endpoint of an owner table."""
 
     def __init__(self, **values) -> None:
-        self.table = open_table(warm_after=WARM_AFTER, **values)
-        self.client = client_of(self.table)
+        self.table = make_endpoint_manager(warm_after=WARM_AFTER, **values)
+        self.client = make_reservation_client(self.table)
         self.ledger = self.table.ledgers[ENGINE]
 
     async def run(self, first_token_s: float = 0.05, **outcome) -> None:
@@ -51,9 +51,9 @@
 
     async def begin(self):
         """Begins one request."""
-        held = await self.client.reserve(ask())
+        held = await self.client.reserve(make_reserve_request())
         attempt = Attempt(request_id=held.id, number=1, member_id="me")
-        self.client.begin(held, attempt)
+        self.client.begin_dispatch(held, attempt)
         return held
 
     async def succeed(self, count: int) -> None:
@@ -179,7 +179,7 @@
             await driver.begin()
             for _ in range(8):
                 await asyncio.sleep(1)
-                driver.client.report_own()
+                driver.client.report_local_reservations()
                 driver.load()
 
         self.assert_cold(self.after(scenario))
@@ -189,7 +189,7 @@
             await driver.begin()
             driver.load()
             await asyncio.sleep(1)
-            driver.client.report_own()
+            driver.client.report_local_reservations()
             driver.load()
 
         driver = self.after(scenario)
@@ -199,7 +199,7 @@
         async def scenario(driver):
             for _ in range(3):
                 driver.table.note_unreachable(ENGINE)
-            reply = await driver.table.reserve(ask(), "me")
+            reply = await driver.table.reserve(make_reserve_request(), "me")
             self.assertEqual(reply.code, ResultCode.NO_ENDPOINT)
             driver.load()
 
@@ -218,27 +218,27 @@
 
     def test_engine_says_that_it_is_leaving(self):
         async def scenario(driver):
-            held = await driver.client.reserve(ask())
+            held = await driver.client.reserve(make_reserve_request())
             driver.load(leaving=True)
-            reply = await driver.table.reserve(ask(), "me")
+            reply = await driver.table.reserve(make_reserve_request(), "me")
             self.assertEqual(reply.code, ResultCode.NO_ENDPOINT)
             attempt = Attempt(request_id="r", number=1, member_id="me")
             with self.assertRaises(DispatchRefusedError):
-                driver.client.begin(held, attempt)
+                driver.client.begin_dispatch(held, attempt)
 
         self.after(scenario)
 
     def test_take_over_adopts_the_phase_of_the_same_start(self):
         async def scenario():
-            table = open_table()
+            table = make_endpoint_manager()
             phases = []
             for boot_id in ("b1", "b0"):
                 table.ledgers.clear()
                 hint = EndpointHint(
                     endpoint=ENGINE, phase=EndpointPhase.WARM, boot_id=boot_id
                 )
-                table.hints.note(hint)
-                before = table.hint(ENGINE).phase
+                table.hints.update(hint)
+                before = table.local_hint(ENGINE).phase
                 table.note_load(ENGINE, LoadReport(boot_id="b1"), 0.0)
                 ledger = table.ledgers[ENGINE]
                 phases.append((before, ledger.phase, ledger.max_running))
@@ -262,7 +262,9 @@
             for event in events:
                 match event:
                     case "g":
-                        held.append(await driver.client.reserve(ask()))
+                        held.append(
+                            await driver.client.reserve(make_reserve_request())
+                        )
                     case "s" | "l" if held:
                         one = held.pop()
                         if hasattr(one, "work"):
--- a/tests/endpoints/test_queue.py
+++ b/tests/endpoints/test_queue.py
@@ -59,7 +59,7 @@
             queue, tasks = await queue_all(room, requests, gap_s=gap_s)
             await asyncio.sleep(wait_s)
             room.free = 10**9
-            queue.pump()
+            queue.grant_waiting()
             await asyncio.gather(*tasks)
             return room.granted
 
@@ -92,7 +92,7 @@
             queue, tasks = await queue_all(room, requests)
             before = list(room.granted)
             room.free = 9
-            queue.pump()
+            queue.grant_waiting()
             for task in tasks:
                 task.cancel()
             return before, room.granted
@@ -108,7 +108,7 @@
 
             def grant():
                 room.free = 1
-                queue.pump()
+                queue.grant_waiting()
 
             asyncio.get_running_loop().call_later(1.0, grant)
             reply = await queue.reserve(ask("r", 1, wait_s=1.0), "m", 1.0)
@@ -138,7 +138,7 @@
             ]
             queue, tasks = await queue_all(room, requests, gap_s=0.5)
             room.free += 30
-            queue.pump()
+            queue.grant_waiting()
             replies = await asyncio.gather(*tasks)
             ok = [r.reservation_id for r in replies if r.code == ResultCode.OK]
             return sorted(ok), sorted(room.granted), queue.waiters
--- a/tests/endpoints/test_reservations.py
+++ b/tests/endpoints/test_reservations.py
@@ -6,7 +6,7 @@
 import unittest
 
 from auburnswitch.endpoints.client import Attempt
-from auburnswitch.endpoints.load import LoadReport
+from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.endpoints.reservations import DispatchRefusedError
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.objects import Ticket
@@ -18,13 +18,13 @@
 )
 from auburnswitch.schema.results import ResultCode
 from auburnswitch.schema.settings import PeersSettings
-from tests.endpoints.owners import (
+from tests.endpoints.manager_support import (
     ENGINE,
-    ask,
     changes,
-    client_of,
     endpoint,
-    open_table,
+    make_endpoint_manager,
+    make_reservation_client,
+    make_reserve_request,
 )
 from tests.virtual_time import run_virtual
 
@@ -65,7 +65,9 @@
 class ReservationTest(unittest.TestCase):
     def test_request_that_cannot_start_in_time_is_refused_at_once(self):
         async def scenario():
-            return await open_table().reserve(ask(time_left_s=0.001), "me")
+            return await make_endpoint_manager().reserve(
+                make_reserve_request(time_left_s=0.001), "me"
+            )
 
         reply = run_virtual(scenario)
         self.assertEqual(reply.code, ResultCode.QUEUE_FULL)
@@ -73,54 +75,58 @@
 
     def test_unused_reservation_expires_by_the_askers_clock(self):
         async def scenario():
-            client = client_of(open_table())
-            held = await client.reserve(ask())
+            client = make_reservation_client(make_endpoint_manager())
+            held = await client.reserve(make_reserve_request())
             await asyncio.sleep(1.01)  # as a pause before the dispatch would
             with self.assertRaises(DispatchRefusedError):
-                client.begin(held, ATTEMPT)
-            fresh = await client.reserve(ask())
-            client.begin(fresh, ATTEMPT)
+                client.begin_dispatch(held, ATTEMPT)
+            fresh = await client.reserve(make_reserve_request())
+            client.begin_dispatch(fresh, ATTEMPT)
             await client.release(held, succeeded=False)
-            return len(client.owner_table.ledgers[ENGINE].reservations)
+            return len(client.endpoint_manager.ledgers[ENGINE].reservations)
 
         self.assertEqual(run_virtual(scenario), 1)
 
     def test_time_in_the_queue_does_not_count(self):
         async def scenario():
-            table = open_table(cold_max_running=1)
-            client = client_of(table)
-            first = await client.reserve(ask())
-            waiting = asyncio.create_task(client.reserve(ask(max_wait_s=5)))
+            table = make_endpoint_manager(cold_max_running=1)
+            client = make_reservation_client(table)
+            first = await client.reserve(make_reserve_request())
+            waiting = asyncio.create_task(
+                client.reserve(make_reserve_request(max_wait_s=5))
+            )
             await asyncio.sleep(3)
             await client.release(first, succeeded=False)
             second = await waiting
-            return second.use_before - asyncio.get_running_loop().time()
+            return second.dispatch_deadline - asyncio.get_running_loop().time()
 
         self.assertAlmostEqual(run_virtual(scenario), 1.0, places=6)
 
     def test_zone_out_after_the_grant_stops_the_dispatch(self):
         async def scenario():
-            table = open_table()
-            client = client_of(table)
-            held = await client.reserve(ask())
+            table = make_endpoint_manager()
+            client = make_reservation_client(table)
+            held = await client.reserve(make_reserve_request())
             out = changes(endpoint(), zone_out=True)
             table.state.join_ticket(Ticket(number=2, changes=out))
             with self.assertRaises(DispatchRefusedError):
-                client.begin(held, ATTEMPT)
-            return (await client.reserve(ask())).code
+                client.begin_dispatch(held, ATTEMPT)
+            return (await client.reserve(make_reserve_request())).code
 
         self.assertEqual(run_virtual(scenario), ResultCode.NO_ENDPOINT)
 
     def test_late_grant_is_given_back(self):
         async def scenario():
-            client = client_of(open_table())
+            client = make_reservation_client(make_endpoint_manager())
             link = SlowLink(3)
-            client.owner_table.owners = OtherOwner()
+            client.endpoint_manager.owners = OtherOwner()
             client.membership.links["peer"] = link
             async with open_task_set() as tasks:
                 client.membership.tasks = tasks
-                reply = await client.reserve(ask(max_wait_s=1))
-                cancelled = asyncio.create_task(client.reserve(ask()))
+                reply = await client.reserve(make_reserve_request(max_wait_s=1))
+                cancelled = asyncio.create_task(
+                    client.reserve(make_reserve_request())
+                )
                 await asyncio.sleep(0.5)
                 cancelled.cancel()
                 await asyncio.sleep(5)
@@ -132,17 +138,21 @@
 
     def test_vanished_asker_keeps_no_room(self):
         async def scenario():
-            table = open_table(cold_max_running=1)
+            table = make_endpoint_manager(cold_max_running=1)
             ledger = table.ledgers[ENGINE]
-            first = await table.reserve(ask(), "peer")
-            granted = asyncio.create_task(table.reserve(ask(max_wait_s=9), "p"))
+            first = await table.reserve(make_reserve_request(), "peer")
+            granted = asyncio.create_task(
+                table.reserve(make_reserve_request(max_wait_s=9), "p")
+            )
             await asyncio.sleep(0.01)
             table.release(release_of(first))
             granted.cancel()  # granted, but the reply is not sent yet
             await asyncio.sleep(0.01)
             after_cancel = len(ledger.reservations)
-            second = await table.reserve(ask(), "peer")
-            waiter = asyncio.create_task(table.reserve(ask(max_wait_s=9), "p"))
+            second = await table.reserve(make_reserve_request(), "peer")
+            waiter = asyncio.create_task(
+                table.reserve(make_reserve_request(max_wait_s=9), "p")
+            )
             await asyncio.sleep(0.01)
             waiter.cancel()
             await asyncio.sleep(0.01)
@@ -153,10 +163,10 @@
 
     def test_release_counts_once(self):
         async def scenario():
-            table = open_table()
-            client = client_of(table)
-            held = await client.reserve(ask())
-            client.begin(held, ATTEMPT)
+            table = make_endpoint_manager()
+            client = make_reservation_client(table)
+            held = await client.reserve(make_reserve_request())
+            client.begin_dispatch(held, ATTEMPT)
             work = held.work
             await client.release(held, succeeded=True)
             await client.release(held, succeeded=True)
@@ -168,7 +178,9 @@
                     succeeded=True,
                 )
             )
-            table.rebuilder.note_report("me", [work])  # crossed the release
+            table.reservation_reconciler.note_report(
+                "me", [work]
+            )  # crossed the release
             ledger = table.ledgers[ENGINE]
             return ledger.warm_up.successes, len(ledger.reservations)
 
@@ -176,10 +188,12 @@
 
     def test_cold_endpoint_needs_strict_rights_and_says_so_at_once(self):
         async def scenario():
-            table = open_table()
+            table = make_endpoint_manager()
             table.rights.strict = False
             start = asyncio.get_running_loop().time()
-            reply = await table.reserve(ask(max_wait_s=5), "me")
+            reply = await table.reserve(
+                make_reserve_request(max_wait_s=5), "me"
+            )
             return reply.code, asyncio.get_running_loop().time() - start
 
         self.assertEqual(
@@ -188,26 +202,32 @@
 
     def test_isolated_daemon_dispatches_nothing(self):
         async def scenario():
-            client = client_of(open_table())
-            held = await client.reserve(ask())
+            client = make_reservation_client(make_endpoint_manager())
+            held = await client.reserve(make_reserve_request())
             client.membership.isolated = True
             with self.assertRaises(DispatchRefusedError):
-                client.begin(held, ATTEMPT)
+                client.begin_dispatch(held, ATTEMPT)
 
         run_virtual(scenario)
 
     def test_regained_rights_need_a_new_survey(self):
         async def scenario():
-            table = open_table()
+            table = make_endpoint_manager()
             ledger = table.ledgers[ENGINE]
-            codes = [(await table.reserve(ask(), "me")).code]
+            codes = [(await table.reserve(make_reserve_request(), "me")).code]
             table.rights.strict = False
-            codes.append((await table.reserve(ask(), "me")).code)
+            codes.append(
+                (await table.reserve(make_reserve_request(), "me")).code
+            )
             await asyncio.sleep(10)
             table.rights.strict = True
-            codes.append((await table.reserve(ask(), "me")).code)
-            ledger.listed_at = asyncio.get_running_loop().time()
-            codes.append((await table.reserve(ask(), "me")).code)
+            codes.append(
+                (await table.reserve(make_reserve_request(), "me")).code
+            )
+            ledger.work_listed_at = asyncio.get_running_loop().time()
+            codes.append(
+                (await table.reserve(make_reserve_request(), "me")).code
+            )
             return codes
 
         pending = ResultCode.OWNERSHIP_PENDING
@@ -218,11 +238,11 @@
 
     def test_lost_release_is_made_good_by_reports(self):
         async def scenario():
-            table = open_table()
-            reply = await table.reserve(ask(), "peer")
+            table = make_endpoint_manager()
+            reply = await table.reserve(make_reserve_request(), "peer")
             counts = []
             for _ in range(4):
-                table.rebuilder.note_report("peer", [])
+                table.reservation_reconciler.note_report("peer", [])
                 counts.append(len(table.ledgers[ENGINE].reservations))
                 await asyncio.sleep(1.5)
             return reply.code, counts
@@ -231,20 +251,20 @@
 
     def test_grant_on_an_earlier_start_is_not_used(self):
         async def scenario():
-            table = open_table()
-            client = client_of(table)
-            held = await client.reserve(ask())
+            table = make_endpoint_manager()
+            client = make_reservation_client(table)
+            held = await client.reserve(make_reserve_request())
             table.note_load(ENGINE, LoadReport(boot_id="b2"), 0.0)
             with self.assertRaises(DispatchRefusedError):
-                client.begin(held, ATTEMPT)
+                client.begin_dispatch(held, ATTEMPT)
 
         run_virtual(scenario)
 
     def test_release_reaches_a_ledger_that_is_being_given_up(self):
         async def scenario():
-            table = open_table()
-            client = client_of(table)
-            held = await client.reserve(ask())
+            table = make_endpoint_manager()
+            client = make_reservation_client(table)
+            held = await client.reserve(make_reserve_request())
             held.owner_id = "peer"
             table.owners = OtherOwner()
             await client.release(held, succeeded=False)
--- a/tests/endpoints/test_closings.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -14,7 +14,7 @@
 from auburnswitch.standins.engine_model import EngineOptions
 from auburnswitch.standins.history import HistoryKind
 from auburnswitch.standins.instances import InstanceState
-from tests.endpoints.bench import Bench, number_of, open_bench
+from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
 from tests.virtual_time import run_virtual
 
 ENGINE = "engine-0"
@@ -25,7 +25,7 @@
 ANSWER_TOKENS = 200  # 5 s at the engine's decode step
 
 
-def starts(bench: Bench, after: float) -> list[float]:
+def starts(bench: FleetHarness, after: float) -> list[float]:
     """Returns the times at which work started on the engine."""
     records = bench.fleet.history.select(
         HistoryKind.REQUEST_STARTED, actor=ENGINE
@@ -42,14 +42,14 @@
 
 
 class ClosingTest(unittest.TestCase):
-    def run_closing(self, close, *, reopen=None) -> tuple[Bench, float]:
+    def run_closing(self, close, *, reopen=None) -> tuple[FleetHarness, float]:
         """Closes an endpoint under load; returns the bench and the last start.
 
         The last start is in seconds after the closing.
         """
 
         async def run():
-            async with open_bench(
+            async with open_harness(
                 daemons=3,
                 engines=3,
                 engine=EngineOptions(warm_after=WARM_AFTER),
@@ -104,13 +104,13 @@
 
     def test_next_daemon_reads_the_instance_list(self):
         async def run():
-            async with open_bench(daemons=3, engines=1) as bench:
+            async with open_harness(daemons=3, engines=1) as bench:
                 daemons = bench.fleet.daemons
                 await asyncio.sleep(3)
                 reader = next(
                     d.instances
                     for d in daemons.values()
-                    if d.instances.has_read
+                    if d.instances.last_read_succeeded
                 )
 
                 reader.store = FailingStore()
@@ -118,7 +118,8 @@
                 instances.set(ENGINE, ZONE, InstanceState.LEAVING)
                 await asyncio.sleep(10)
                 return [
-                    d.owner_table.is_closed(ENGINE) for d in daemons.values()
+                    d.endpoint_manager.is_unschedulable(ENGINE)
+                    for d in daemons.values()
                 ]
 
         self.assertEqual(run_virtual(run, FreezableLoop), [True] * 3)
@@ -152,7 +153,7 @@
 
     def test_only_endpoint_of_a_service(self):
         async def run():
-            async with open_bench(daemons=2, engines=1) as bench:
+            async with open_harness(daemons=2, engines=1) as bench:
                 await bench.load(8, 2)
                 await bench.finish()
                 change = bench.fleet.zone_change(ZONE, out=True)
--- a/tests/routing/plain_support.py
+++ b/tests/routing/plain_support.py
@@ -37,7 +37,7 @@
 
     def __init__(self, spec: Endpoint) -> None:
         state = SimpleNamespace(endpoints={"e": spec})
-        self.owner_table = SimpleNamespace(
+        self.endpoint_manager = SimpleNamespace(
             state=state,
             invariants=Invariants(strict=True),
             view=MemberView(me=Member(id="me"), settings=MembersSettings()),
@@ -51,7 +51,7 @@
         return HeldReservation(
             endpoint="e",
             owner_id="",
-            use_before=monotonic_s() + 1,
+            dispatch_deadline=monotonic_s() + 1,
             boot_id="",
             work=RunningWork(endpoint="e", reservation_id=request.id),
         )
--- a/tests/routing/test_ends.py
+++ b/tests/routing/test_ends.py
@@ -14,7 +14,7 @@
 from auburnswitch.routing.request import RoutedRequest
 from auburnswitch.schema.peers import LengthClass
 from auburnswitch.schema.results import ResultCode
-from tests.endpoints.owners import open_table
+from tests.endpoints.manager_support import make_endpoint_manager
 from tests.virtual_time import run_virtual
 
 
@@ -39,9 +39,9 @@
         """Returns the invariants that a check finds broken."""
 
         async def scenario():
-            table = open_table()
+            table = make_endpoint_manager()
             table.invariants.strict = False
-            await check(EndChecks(owner_table=table))
+            await check(EndChecks(endpoint_manager=table))
             return set(table.invariants.violations)
 
         return run_virtual(scenario)
@@ -87,7 +87,7 @@
 
             async def check(ends, slow=slow_until_s, paused=paused):
                 await asyncio.sleep(19.5)
-                view = ends.owner_table.view
+                view = ends.endpoint_manager.view
                 if not paused:
                     view.ticked_at = monotonic_s()
                 ends.check_time(routed(), slow)
--- a/tests/routing/test_groups.py
+++ b/tests/routing/test_groups.py
@@ -58,7 +58,7 @@
             reserved = [
                 ledger.reserved_tokens
                 for daemon in fleet.daemons.values()
-                for ledger in daemon.owner_table.ledgers.values()
+                for ledger in daemon.endpoint_manager.ledgers.values()
             ]
             return result, sum(used), sum(reserved)
 
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.endpoints.hints import HintBook
+from auburnswitch.endpoints.hints import HintCache
 from auburnswitch.endpoints.reservations import HeldReservation
 from auburnswitch.results import Refusal
 from auburnswitch.routing.placement import LONG_PROBES, Placer
@@ -45,14 +45,14 @@
     def __init__(self, promised, true):
         self.true = true
         self.asked = []
-        self.hints = HintBook()
+        self.hints = HintCache()
         for name, wait_s in promised.items():
-            self.hints.note(hint(name, wait_s))
+            self.hints.update(hint(name, wait_s))
         self.state = SimpleNamespace(endpoints_of=lambda _: sorted(promised))
         self.view = SimpleNamespace(roster=SimpleNamespace(epoch=1))
-        self.is_closed = lambda _: False
+        self.is_unschedulable = lambda _: False
         self.owns = lambda _: False
-        self.best_hint = self.hints.newest
+        self.latest_hint = self.hints.newest
 
     async def reserve(self, request):
         self.asked.append(request.endpoint)
@@ -60,7 +60,7 @@
         late = wait_s > request.time_left_s
         if late or 0 < request.max_start_wait_s < wait_s:
             answer = hint(request.endpoint, wait_s)
-            self.hints.note(answer)
+            self.hints.update(answer)
             return ReserveReply(
                 code=ResultCode.QUEUE_FULL,
                 hints=[answer],
@@ -69,7 +69,7 @@
         return HeldReservation(
             endpoint=request.endpoint,
             owner_id="m",
-            use_before=monotonic_s() + 1,
+            dispatch_deadline=monotonic_s() + 1,
             boot_id="b",
             work=RunningWork(endpoint=request.endpoint),
         )
@@ -79,7 +79,7 @@
     async def scenario():
         owners = Owners(promised, true)
         placer = Placer(
-            owner_table=owners,
+            endpoint_manager=owners,
             reservations=owners,
             policy=OwnerReservations(),
             strikes=StrikeBook(retention_s=10),
--- a/tests/routing/test_plain.py
+++ b/tests/routing/test_plain.py
@@ -148,7 +148,7 @@
             router.client.settings.connect_timeout_s = 60
 
         def service_port(router):
-            return router.placer.owner_table.state.endpoints["e"].port
+            return router.placer.endpoint_manager.state.endpoints["e"].port
 
         for pause_at in (after_claim, before_send):
             with self.subTest(pause_at.__name__):
