--- a/src/auburnswitch/endpoints/endpoint_manager.py
+++ b/src/auburnswitch/endpoints/endpoint_manager.py
@@ -64,7 +64,8 @@
         ledgers: Ledger by endpoint name; made on first use.
         queues: Waiting requests by endpoint name.
         phase_transitions: Changes the phases of the ledgers.
-        reservation_reconciler: Keeps the ledgers in step with the holders' reports.
+        reservation_reconciler: Keeps the ledgers in step with the holders'
+            reports.
     """
 
     __slots__ = (
--- a/src/auburnswitch/endpoints/ledger.py
+++ b/src/auburnswitch/endpoints/ledger.py
@@ -42,13 +42,14 @@
         reservations: Granted room, by reservation id.
         ended: Ids of reservations that ended lately.
         ended_attempts: Their requests and attempts.
-        unreserved_tokens: Tokens of the endpoint's work that no reservation covers, by
-            resource.
+        unreserved_tokens: Tokens of the endpoint's work that no reservation
+            covers, by resource.
         load: Newest load report that this owner has read.
         load_failures: Load reports in a row that could not be read.
-        recovery_started_at: When this daemon became the owner, in seconds of loop time.
-        work_listed_at: When the endpoint's streams were last compared, in seconds
-            of loop time.
+        recovery_started_at: When this daemon became the owner, in seconds of
+            loop time.
+        work_listed_at: When the endpoint's streams were last compared, in
+            seconds of loop time.
         strict_since: When the present strict rights were first seen, in
             seconds of loop time, None without them.
         recovering: Peers may still have unreported work on the endpoint.
--- a/src/auburnswitch/endpoints/phases.py
+++ b/src/auburnswitch/endpoints/phases.py
@@ -50,9 +50,11 @@
         generation: How often it has turned cold.
         successes: Requests that succeeded since it was cold.
         window: Requests that may run at one time while load rises.
-        baseline_ratio: Usual first-token time over the expected one, when not cold.
+        baseline_ratio: Usual first-token time over the expected one, when not
+            cold.
         max_cold_ratio: Most of that ratio since the endpoint was cold.
-        is_normal_speed: The newest answer was as quick as one of a warm endpoint.
+        is_normal_speed: The newest answer was as quick as one of a warm
+            endpoint.
         slow_answers: First tokens in a row far above the record.
         empty_reports: Load reports in a row that show none of the known work.
     """
