--- a/src/auburnswitch/callers/parse.py
+++ b/src/auburnswitch/callers/parse.py
@@ -11,10 +11,10 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.results import RefusalError, refusal
-from auburnswitch.routing.lengths import (
-    count_tokens,
+from auburnswitch.routing.length_classes import (
+    classify_length,
     default_deadline_s,
-    length_class,
+    estimate_tokens,
 )
 from auburnswitch.routing.request import RoutedRequest, fingerprint
 from auburnswitch.schema.objects import ServiceKind
@@ -129,7 +129,7 @@
         service = self.state.services[service_name]
         tokens = self._prompt_tokens(body, chat)
         answer_tokens = self._answer_tokens(body)
-        length = length_class(tokens, self.settings.routing)
+        length = classify_length(tokens, self.settings.routing)
         deadline_s = self._deadline_s(headers, service, length)
         request = RoutedRequest(
             id=_request_id(headers),
@@ -171,7 +171,7 @@
             raise RefusalError(refusal(ResultCode.UNKNOWN_SERVICE))
         self._check_team(caller, service)
         tokens = max(1, math.ceil(len(raw) / 4))
-        length = length_class(tokens, self.settings.routing)
+        length = classify_length(tokens, self.settings.routing)
         deadline_s = self._deadline_s(headers, service, length)
         signed = f"{method} {path}\n".encode() + raw
         idempotent = method in service.idempotent_methods or any(
@@ -224,12 +224,12 @@
     def _prompt_tokens(self, body: dict[str, Any], chat: bool) -> int:
         if not chat:
             prompt = _text_field(body, "prompt")
-            return count_tokens(prompt, self.settings.routing)
+            return estimate_tokens(prompt, self.settings.routing)
         messages = body.get("messages")
         if not isinstance(messages, list) or not messages:
             raise _bad_field("messages", "must be a list of messages")
         texts = [_message_text(message) for message in messages]
-        return count_tokens("\n".join(texts), self.settings.routing)
+        return estimate_tokens("\n".join(texts), self.settings.routing)
 
     def _answer_tokens(self, body: dict[str, Any]) -> int:
         tokens = body.get("max_tokens")
--- a/src/auburnswitch/daemon/parts.py
+++ b/src/auburnswitch/daemon/parts.py
@@ -48,9 +48,9 @@
 from auburnswitch.results import Refusal, refusal
 from auburnswitch.routing.crashes import CrashJudge
 from auburnswitch.routing.dispatcher import Dispatcher
-from auburnswitch.routing.group_run import GroupRunner
-from auburnswitch.routing.groups import GroupPlacer
-from auburnswitch.routing.placement import Placer
+from auburnswitch.routing.group_placer import GroupPlacer
+from auburnswitch.routing.group_runner import GroupRunner
+from auburnswitch.routing.placer import Placer
 from auburnswitch.routing.plain import PlainRouter
 from auburnswitch.routing.policy import make_policy
 from auburnswitch.routing.retry_budget import RetryBudget
@@ -271,7 +271,7 @@
             budget=RetryBudget(settings=self.settings.routing),
             limits=limits,
             groups=GroupRunner(
-                groups=GroupPlacer(placer=placer),
+                group_placer=GroupPlacer(placer=placer),
                 client=client,
                 metrics=self.metrics,
                 member_id=self.member.id,
--- a/src/auburnswitch/entry/parts.py
+++ b/src/auburnswitch/entry/parts.py
@@ -22,11 +22,11 @@
 from auburnswitch.platform.store import PlatformStore
 from auburnswitch.routing.crash_record import CrashRecord
 from auburnswitch.routing.delivery import Courier
-from auburnswitch.routing.endpoint_choice import EndpointChooser
 from auburnswitch.routing.endpoint_health import EndpointHealth
+from auburnswitch.routing.endpoint_selector import EndpointSelector
 from auburnswitch.routing.fleet_load import FleetLoad
-from auburnswitch.routing.joint_memory import JointMemory
 from auburnswitch.routing.load_observer import LoadObserver
+from auburnswitch.routing.memory_reservations import MemoryReservations
 from auburnswitch.routing.send_rates import SendRates
 from auburnswitch.routing.window_budget import WindowBudget
 from auburnswitch.schema.events import EventId
@@ -116,7 +116,7 @@
             bounds=settings.bounds,
             is_reader=self._is_reader,
         )
-        self.chooser = EndpointChooser(
+        self.selector = EndpointSelector(
             instance=record.instance,
             zone=record.zone,
             installation=self.installation,
@@ -131,7 +131,7 @@
             chance=chance,
         )
         calls = EndpointCalls()
-        self.memory = JointMemory(
+        self.memory = MemoryReservations(
             calls=calls, prefix=f"{record.instance}-{self.gossip.incarnation}"
         )
         self.crashes = CrashRecord()
@@ -139,7 +139,7 @@
         courier = Courier(
             statistics=self.statistics,
             crashes=self.crashes,
-            chooser=self.chooser,
+            selector=self.selector,
             calls=calls,
             memory=self.memory,
             budget=WindowBudget(
@@ -150,11 +150,11 @@
             installation=self.installation,
             load=self.load,
             calls=calls,
-            me=record.instance,
-            live_daemons=lambda: [
+            instance=record.instance,
+            live_instances=lambda: [
                 peer.record.instance for peer in self.gossip.live_peers()
             ],
-            tell=self.gossip.tell_reports,
+            publish=self.gossip.tell_reports,
         )
         self.app = EntryApp(
             installation=self.installation,
@@ -285,7 +285,7 @@
         items = self.load.items[self.gossip.me.instance]
         now = monotonic_s()
         for item in items.values():
-            share = self.load.by_endpoint[item.endpoint].shares.get(
+            share = self.load.by_endpoint[item.endpoint].work_by_request.get(
                 (self.gossip.me.instance, item.id)
             )
             if share is not None:
@@ -319,10 +319,10 @@
         else:
             for item in message.items:
                 self.load.add(name, item)
-                self.chooser.rates.note_any(item.endpoint)
+                self.selector.rates.note_any(item.endpoint)
         self.crashes.note_told(message.crash_strikes)
         for report in message.reports:
-            self.observer.note(report)
+            self.observer.apply_report(report)
         for number in message.ended:
             self.load.remove(name, number)
         if message.changes is not None:
--- a/src/auburnswitch/experiments/oracle.py
+++ b/src/auburnswitch/experiments/oracle.py
@@ -7,7 +7,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.results import Refusal, refusal
-from auburnswitch.routing.placement import Placer, unreserved_work
+from auburnswitch.routing.placer import Placer, unreserved_work
 from auburnswitch.schema.peers import LengthClass
 from auburnswitch.schema.results import ResultCode
 
@@ -48,7 +48,7 @@
             strikes=placer.strikes,
             seed=0,
         )
-        self.random = placer.random
+        self.rng = placer.rng
         self.engines = engines
         self.pending = pending
 
@@ -65,7 +65,7 @@
                 and self._has_room(name, request)
             ]
             if names:
-                self.random.shuffle(names)
+                self.rng.shuffle(names)
                 best = min(names, key=lambda n: self._work_before(n, request))
                 self.pending[best][request.id] = (monotonic_s(), request)
                 work = unreserved_work(best, request)
--- a/src/auburnswitch/routing/attempt.py
+++ b/src/auburnswitch/routing/attempt.py
@@ -22,7 +22,10 @@
     from auburnswitch.platform.endpoint_calls import EndpointCalls
     from auburnswitch.platform.requests import ReadHelper
     from auburnswitch.routing.delivery_job import DeliveryJob
-    from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
+    from auburnswitch.routing.endpoint_selector import (
+        EndpointSelector,
+        Placement,
+    )
     from auburnswitch.routing.outcomes import AnswerWriter, DeliveryProgress
 
 _HTTP_SERVER_ERROR: Final = 500
@@ -32,7 +35,7 @@
     """Sends a request to the endpoints of one placement.
 
     Attributes:
-        chooser: Keeps account of the work.
+        selector: Keeps account of the work.
         statistics: Counts latencies.
         job: The request.
         placement: Where it is sent.
@@ -41,10 +44,10 @@
     """
 
     __slots__ = (
-        "chooser",
         "job",
         "placement",
         "progress",
+        "selector",
         "statistics",
         "writer",
     )
@@ -52,14 +55,14 @@
     def __init__(
         self,
         *,
-        chooser: EndpointChooser,
+        selector: EndpointSelector,
         statistics: EntryStatistics,
         job: DeliveryJob,
         placement: Placement,
         writer: AnswerWriter,
         progress: DeliveryProgress,
     ) -> None:
-        self.chooser = chooser
+        self.selector = selector
         self.statistics = statistics
         self.job = job
         self.placement = placement
@@ -107,7 +110,7 @@
                         return AttemptFailed(
                             reason=f"not run, {status}",
                             may_have_run=False,
-                            failed_endpoint=self.chooser.find_by_address(
+                            failed_endpoint=self.selector.find_by_address(
                                 address
                             ),
                         )
@@ -117,7 +120,7 @@
                         )
                 if job.is_stream and answer.success:
                     relay = StreamRelay(
-                        chooser=self.chooser,
+                        selector=self.selector,
                         statistics=self.statistics,
                         job=job,
                         placement=placement,
--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -9,7 +9,7 @@
 from auburnswitch.platform.endpoint_calls import AnswerHead
 from auburnswitch.routing.attempt import Attempt
 from auburnswitch.routing.endpoint_health import HARD_FAILURE, SOFT_FAILURE
-from auburnswitch.routing.joint_memory import MemoryRefused
+from auburnswitch.routing.memory_reservations import MemoryRefusal
 from auburnswitch.routing.outcomes import (
     AttemptFailed,
     Delivered,
@@ -25,8 +25,11 @@
     from auburnswitch.platform.endpoint_calls import EndpointCalls
     from auburnswitch.routing.crash_record import CrashRecord
     from auburnswitch.routing.delivery_job import DeliveryJob
-    from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
-    from auburnswitch.routing.joint_memory import JointMemory
+    from auburnswitch.routing.endpoint_selector import (
+        EndpointSelector,
+        Placement,
+    )
+    from auburnswitch.routing.memory_reservations import MemoryReservations
     from auburnswitch.routing.outcomes import AnswerWriter
     from auburnswitch.routing.window_budget import WindowBudget
 
@@ -40,26 +43,26 @@
     __slots__ = (
         "budget",
         "calls",
-        "chooser",
         "crashes",
         "memory",
+        "selector",
         "statistics",
     )
 
     def __init__(
         self,
         *,
-        chooser: EndpointChooser,
+        selector: EndpointSelector,
         calls: EndpointCalls,
         budget: WindowBudget,
-        memory: JointMemory,
+        memory: MemoryReservations,
         crashes: CrashRecord,
         statistics: EntryStatistics,
     ) -> None:
         self.statistics = statistics
         self.crashes = crashes
         self.memory = memory
-        self.chooser = chooser
+        self.selector = selector
         self.calls = calls
         self.budget = budget
 
@@ -88,7 +91,7 @@
         while True:
             if last is not None and not self._may_retry(job, last):
                 return await self._give_up(last, writer, progress)
-            placement = await wait_for_placement(self.chooser, job)
+            placement = await wait_for_placement(self.selector, job)
             if job.time_left_s() < SEND_MIN_S:
                 placement = None  # also after this process stood still
             if placement is None:
@@ -115,7 +118,7 @@
             )
 
     def _no_room(self, job: DeliveryJob) -> Failed:
-        if self.chooser.could_serve(job):
+        if self.selector.is_feasible(job):
             return Failed(reason="no room", may_have_run=False)
         return Failed(
             reason="too few endpoints in service",
@@ -156,13 +159,13 @@
         writer: AnswerWriter,
         progress: DeliveryProgress,
     ) -> Delivered | AttemptFailed:
-        self.chooser.start(job, placement)
+        self.selector.start(job, placement)
         endpoint = placement.endpoint.entry
         try:
             async with self.memory.reserve(
                 job.request.id, placement
             ) as helpers:
-                if isinstance(helpers, MemoryRefused):
+                if isinstance(helpers, MemoryRefusal):
                     job.excluded.update(helpers.endpoints)
                     return AttemptFailed(
                         reason="memory not granted",
@@ -170,7 +173,7 @@
                         sent=False,
                     )
                 attempt = Attempt(
-                    chooser=self.chooser,
+                    selector=self.selector,
                     statistics=self.statistics,
                     job=job,
                     placement=placement,
@@ -179,7 +182,7 @@
                 )
                 outcome = await attempt.run(helpers, self.calls)
         finally:
-            self.chooser.end(placement)
+            self.selector.end(placement)
         if isinstance(outcome, AttemptFailed) and outcome.cut:
             self.crashes.note(job.fingerprint, endpoint.id)
         self._note_health(endpoint.id, outcome, job)
@@ -191,7 +194,7 @@
         outcome: Delivered | AttemptFailed,
         job: DeliveryJob,
     ) -> None:
-        health = self.chooser.health
+        health = self.selector.health
         match outcome:
             case AttemptFailed(failed_endpoint=str(other), reason=reason) if (
                 other != endpoint
@@ -201,7 +204,7 @@
             case Delivered():
                 health.note_success(endpoint)
             case AttemptFailed(sent=True, may_have_run=False, reason=reason):
-                self.chooser.load.by_endpoint[endpoint].note_full()
+                self.selector.load.by_endpoint[endpoint].note_full()
                 health.note_failure(endpoint, reason, SOFT_FAILURE)
             case AttemptFailed(head=AnswerHead()):
                 health.note_failure(endpoint, outcome.reason, SOFT_FAILURE)
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -21,7 +21,7 @@
     AnswerText,
 )
 from auburnswitch.routing.ends import EndChecks
-from auburnswitch.routing.groups import GroupReservation
+from auburnswitch.routing.group_placer import GroupReservation
 from auburnswitch.routing.progress import Progress
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.results import Ran, ResultCode
@@ -33,8 +33,8 @@
     from auburnswitch.observe.metrics import Metrics
     from auburnswitch.observe.tasks import TaskSet
     from auburnswitch.routing.crashes import CrashJudge
-    from auburnswitch.routing.group_run import GroupRunner
-    from auburnswitch.routing.placement import Placer
+    from auburnswitch.routing.group_runner import GroupRunner
+    from auburnswitch.routing.placer import Placer
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.routing.retry_budget import RetryBudget
     from auburnswitch.routing.team_limits import TeamLimits
--- a/src/auburnswitch/routing/endpoint_choice.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -8,14 +8,14 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.logs import log_event
-from auburnswitch.routing import engine_speed
-from auburnswitch.routing.engine_candidate import Prompt
-from auburnswitch.routing.prompt_placement import (
-    MOST_ENGINES,
-    Plan,
-    choose_engines,
+from auburnswitch.routing import engine_latency
+from auburnswitch.routing.engine_candidate import PromptRequirements
+from auburnswitch.routing.prefill_planner import (
+    MAX_ENGINES,
+    PrefillPlan,
     engines_needed,
-    soonest_read_ms,
+    min_prefill_ms,
+    plan_prefill,
 )
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.gossip import WorkItem
@@ -35,11 +35,11 @@
     from auburnswitch.routing.send_rates import SendRates
     from auburnswitch.schema.installation import EngineModel
 
-PLAIN_WORK_MS: Final = 300.0  # until a plain request is expected to end
-PLAIN_QUEUE: Final = 2  # requests beyond an endpoint's slots
-LONG_TOKENS: Final = 80_000  # from which memory is scarce
-OTHERS_TRIED: Final = 32  # endpoints of all cells
-REMAINING_SLACK: Final = 1.5  # of the predicted time of a request
+PLAIN_REQUEST_MS: Final = 300.0  # until a plain request is expected to end
+MAX_PLAIN_QUEUED: Final = 2  # requests beyond an endpoint's slots
+LONG_PROMPT_TOKENS: Final = 80_000  # from which memory is scarce
+FALLBACK_SAMPLE_SIZE: Final = 32  # endpoints of all cells
+REMAINING_TIME_FACTOR: Final = 1.5  # of the predicted time of a request
 _MS_PER_S: Final = 1000.0
 
 
@@ -53,7 +53,7 @@
         item: The work as peers hear of it.
         first_token_s: Predicted time to the answer's start, in seconds.
         late: The answer is predicted to start too late.
-        harmful: It would make other answers late.
+        delays_others: It would make other answers late.
     """
 
     endpoint: KnownEndpoint
@@ -61,14 +61,14 @@
     item: WorkItem
     first_token_s: float
     late: bool = False
-    harmful: bool = False
+    delays_others: bool = False
 
     def holders(self) -> list[KnownEndpoint]:
         """Returns the helpers that hold a part of the prompt's memory."""
         return self.helpers[: self.item.holders]
 
 
-class EndpointChooser:
+class EndpointSelector:
     """Chooses endpoints by what all daemons have at them.
 
     Attributes:
@@ -83,7 +83,6 @@
     __slots__ = (
         "_next_id",
         "cells",
-        "chance",
         "group",
         "health",
         "installation",
@@ -91,6 +90,7 @@
         "load",
         "on_change",
         "rates",
+        "rng",
         "zone",
     )
 
@@ -106,7 +106,7 @@
         on_change: Callable[[list[WorkItem], list[int]], None],
         group: Callable[[], str],
         cells: Cells,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.group = group
         self.cells = cells
@@ -117,10 +117,10 @@
         self.health = health
         self.rates = rates
         self.on_change = on_change
-        self.chance = chance
+        self.rng = rng
         self._next_id = 0
 
-    def could_serve(self, job: DeliveryJob) -> bool:
+    def is_feasible(self, job: DeliveryJob) -> bool:
         """Whether idle endpoints would have room and answer in time."""
         usable = self._count_usable(job)
         model, request = job.service.engine, job.request
@@ -130,7 +130,7 @@
         needed = engines_needed(model, tokens)
         if needed is None or usable < needed:
             return False
-        soonest_ms = soonest_read_ms(model, request.prompt_tokens, usable)
+        soonest_ms = min_prefill_ms(model, request.prompt_tokens, usable)
         return soonest_ms <= job.time_left_s() * _MS_PER_S
 
     def _count_usable(self, job: DeliveryJob) -> int:
@@ -141,9 +141,9 @@
             if self.installation.is_open(known)
             and known.entry.id not in job.excluded
         )
-        return sum(1 for _ in itertools.islice(usable, MOST_ENGINES))
+        return sum(1 for _ in itertools.islice(usable, MAX_ENGINES))
 
-    def choose(self, job: DeliveryJob) -> Placement | None:
+    def select(self, job: DeliveryJob) -> Placement | None:
         """Returns endpoints with room for a request, None if there are none.
 
         In a large fleet those of this daemon's cell go first.
@@ -152,10 +152,12 @@
         if not self.cells.is_split(service):
             return self._choose_of(job, self.installation.endpoints_of(service))
         placement = self._choose_of(job, self.cells.own_endpoints(service))
-        if placement is not None and not (placement.late or placement.harmful):
+        if placement is not None and not (
+            placement.late or placement.delays_others
+        ):
             return placement
         others = self.installation.endpoints_of(service)
-        some = self.chance.sample(others, min(len(others), OTHERS_TRIED))
+        some = self.rng.sample(others, min(len(others), FALLBACK_SAMPLE_SIZE))
         return self._choose_of(job, some) or placement
 
     def _choose_of(
@@ -189,8 +191,8 @@
             endpoint=placement.endpoint.entry.id,
             helpers=placement.item.helpers,
             holders=placement.item.holders,
-            writers=load.writers,
-            helping=load.helping,
+            writers=load.decode_count,
+            helping=load.helper_prefill_count,
             backlog_ms=round(load.backlog_ms(monotonic_s()), 1),
             part_ms=round(placement.item.read_ms, 1),
             predicted_ms=round(placement.first_token_s * _MS_PER_S, 1),
@@ -199,9 +201,9 @@
         self.load.add(self.instance, placement.item)
         self.on_change([placement.item], [])
 
-    def note_read(self, placement: Placement) -> None:
+    def note_prefilled(self, placement: Placement) -> None:
         """Notes that the prompt of a placement has been read."""
-        self.load.note_read(self.instance, placement.item.id)
+        self.load.note_prefilled(self.instance, placement.item.id)
 
     def end(self, placement: Placement) -> None:
         """Ends the work of a placement and tells the peers."""
@@ -219,16 +221,16 @@
         self, candidates: list[KnownEndpoint]
     ) -> Placement | None:
         def rank(known: KnownEndpoint) -> tuple[float, bool, float]:
-            pending = len(self.load.by_endpoint[known.entry.id].shares)
+            pending = len(self.load.by_endpoint[known.entry.id].work_by_request)
             elsewhere = known.entry.zone != self.zone
-            return pending, elsewhere, self.chance.random()
+            return pending, elsewhere, self.rng.random()
 
         best = min(candidates, key=rank, default=None)
         if best is None:
             return None
-        if rank(best)[0] >= best.entry.slots + PLAIN_QUEUE:
+        if rank(best)[0] >= best.entry.slots + MAX_PLAIN_QUEUED:
             return None
-        item = self._item(endpoint=best.entry.id, remaining_ms=PLAIN_WORK_MS)
+        item = self._item(endpoint=best.entry.id, remaining_ms=PLAIN_REQUEST_MS)
         return Placement(endpoint=best, helpers=[], item=item, first_token_s=0)
 
     def _choose_engines(
@@ -238,56 +240,60 @@
         candidates: list[KnownEndpoint],
     ) -> Placement | None:
         now = monotonic_s()
-        shuffled = self.chance.sample(candidates, len(candidates))
-        prompt = Prompt(
+        shuffled = self.rng.sample(candidates, len(candidates))
+        prompt = PromptRequirements(
             tokens=job.request.prompt_tokens,
             answer_tokens=job.request.answer_tokens,
             target_ms=max(0.0, job.target_left_s()) * _MS_PER_S,
-            gap_ms=job.route.target_gap_s * _MS_PER_S,
+            target_gap_ms=job.route.target_gap_s * _MS_PER_S,
         )
         loads = [(k, self.load.by_endpoint[k.entry.id]) for k in shuffled]
-        plan = choose_engines(
-            model, prompt, loads, now, self._tie_break(prompt)
-        )
+        plan = plan_prefill(model, prompt, loads, now, self._tie_break(prompt))
         if plan is None:
             return None
         return self._placement(plan, model, prompt)
 
-    def _tie_break(self, prompt: Prompt) -> str:
+    def _tie_break(self, prompt: PromptRequirements) -> str:
         """Returns whose order decides between equally good engines.
 
         Daemons of a group prefer the same engines, which packs short answers.
         Two long prompts that are placed at one moment may not fit into the
         memory of one engine, so each daemon has an order of its own for them.
         """
-        return self.instance if prompt.tokens >= LONG_TOKENS else self.group()
+        return (
+            self.instance
+            if prompt.tokens >= LONG_PROMPT_TOKENS
+            else self.group()
+        )
 
     def _placement(
-        self, plan: Plan, model: EngineModel, prompt: Prompt
+        self, plan: PrefillPlan, model: EngineModel, prompt: PromptRequirements
     ) -> Placement:
-        writers = self.load.by_endpoint[plan.writer.entry.id].writers + 1
-        answer_ms = engine_speed.answer_ms(
+        writers = (
+            self.load.by_endpoint[plan.decode_engine.entry.id].decode_count + 1
+        )
+        answer_ms = engine_latency.decode_ms(
             model, prompt.answer_tokens, writers, prompt.tokens
         )
         remaining_ms = plan.first_token_ms + answer_ms
         item = self._item(
-            endpoint=plan.writer.entry.id,
+            endpoint=plan.decode_engine.entry.id,
             helpers=[helper.entry.id for helper in plan.helpers],
             read_ms=plan.part_ms,
             memory_tokens=plan.memory_tokens,
             helper_memory_tokens=plan.memory_tokens if plan.holders else 0,
             holders=plan.holders,
-            target_gap_ms=prompt.gap_ms,
+            target_gap_ms=prompt.target_gap_ms,
             due_ms=prompt.target_ms,
-            remaining_ms=remaining_ms * REMAINING_SLACK,
+            remaining_ms=remaining_ms * REMAINING_TIME_FACTOR,
         )
         return Placement(
-            endpoint=plan.writer,
+            endpoint=plan.decode_engine,
             helpers=plan.helpers,
             item=item,
             first_token_s=plan.first_token_ms / _MS_PER_S,
             late=plan.first_token_ms > prompt.target_ms,
-            harmful=plan.harm > 0,
+            delays_others=plan.interference_cost > 0,
         )
 
     def _item(self, **values: object) -> WorkItem:
@@ -295,4 +301,4 @@
         return WorkItem(id=self._next_id, **values)  # type: ignore[arg-type]
 
 
-__all__ = ["EndpointChooser", "Placement"]
+__all__ = ["EndpointSelector", "Placement"]
--- a/src/auburnswitch/routing/engine_speed.py
+++ b/src/auburnswitch/routing/engine_latency.py
@@ -12,7 +12,7 @@
 _MS_PER_S: Final = 1000.0
 
 
-def read_ms(engine: EngineModel, tokens: int) -> float:
+def prefill_ms(engine: EngineModel, tokens: int) -> float:
     """Returns the time to read a whole prompt alone, in milliseconds."""
     linear_ms = tokens / engine.read_tokens_per_s * _MS_PER_S
     pairs = tokens * (tokens + 1) / 2
@@ -21,32 +21,32 @@
 
 
 def pass_ms(
-    engine: EngineModel, writing: int, context_tokens: int = 0
+    engine: EngineModel, decode_count: int, context_tokens: int = 0
 ) -> float:
     """Returns the time of a pass without reading, in milliseconds.
 
     Args:
         engine: The engine.
-        writing: Requests that it writes answers for.
+        decode_count: Requests that it writes answers for.
         context_tokens: Tokens of their prompts and answers so far.
     """
     step_ms = (
         engine.step_ms
-        + writing * engine.step_per_request_ms
+        + decode_count * engine.step_per_request_ms
         + context_tokens / _TOKENS_PER_KILOTOKEN * engine.step_per_kilotoken_ms
     )
     return engine.steps_per_pass * step_ms
 
 
-def answer_ms(
+def decode_ms(
     engine: EngineModel,
     answer_tokens: int,
-    writing: int,
+    decode_count: int,
     context_tokens: int = 0,
 ) -> float:
     """Returns the time to write an answer, in milliseconds."""
     passes = max(1.0, answer_tokens / engine.steps_per_pass)
-    return passes * pass_ms(engine, writing, context_tokens)
+    return passes * pass_ms(engine, decode_count, context_tokens)
 
 
-__all__ = ["answer_ms", "pass_ms", "read_ms"]
+__all__ = ["decode_ms", "pass_ms", "prefill_ms"]
--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -13,38 +13,38 @@
     from auburnswitch.schema.gossip import WorkItem
 
 EXPIRY_SLACK_S: Final = 1.0
-REPORT_LAG_S: Final = 0.6
-OBSERVATION_S: Final = 3.0  # for which a report counts
-FULL_S: Final = 0.4
-MAX_ENDED: Final = 32
+REPORT_MAX_LAG_S: Final = 0.6
+REPORT_TTL_S: Final = 3.0  # for which a report counts
+FULL_TTL_S: Final = 0.4
+MAX_RECENT_END_TIMES: Final = 32
 _MS_PER_S: Final = 1000.0
 
 
 @dataclass(slots=True, kw_only=True)
-class WorkShare:
+class EndpointWork:
     """What one request does at one endpoint.
 
     Attributes:
-        read_s: Time that its reading takes alone, in seconds.
-        reads_from: Loop time at which its reading starts, in seconds.
-        reads_until: Loop time at which its reading ends.
+        prefill_s: Time that its reading takes alone, in seconds.
+        prefill_starts_at: Loop time at which its reading starts, in seconds.
+        prefill_ends_at: Loop time at which its reading ends.
         due_at: Loop time at which its answer has to start.
         ends_at: Loop time at which the request is expected to end.
         memory_tokens: Memory it uses here.
         target_gap_ms: Longest pause between its events, in milliseconds.
-        writes_here: The answer is written here.
+        decodes_here: The answer is written here.
         writing: Its prompt has been read.
         joint: Several endpoints read the prompt.
     """
 
-    read_s: float
-    reads_from: float
-    reads_until: float
+    prefill_s: float
+    prefill_starts_at: float
+    prefill_ends_at: float
     due_at: float
     ends_at: float
     memory_tokens: int
     target_gap_ms: float
-    writes_here: bool
+    decodes_here: bool
     writing: bool = False
     joint: bool = False
 
@@ -53,27 +53,27 @@
     """The work at one endpoint.
 
     Attributes:
-        shares: Shares of requests, by daemon and number of the request.
-        reads_until: Loop time at which all reading is predicted to end.
-        ended_at: Loop times at which the last requests ended.
+        work_by_request: Shares of requests, by daemon and number of the request.
+        prefill_ends_at: Loop time at which all reading is predicted to end.
+        recent_end_times: Loop times at which the last requests ended.
     """
 
     __slots__ = (
         "_full_until",
         "_observed_at",
         "_report",
-        "ended_at",
-        "reads_until",
-        "shares",
+        "prefill_ends_at",
+        "recent_end_times",
+        "work_by_request",
     )
 
     def __init__(self) -> None:
-        self.shares: dict[tuple[str, int], WorkShare] = {}
-        self.reads_until = 0.0
-        self.ended_at: deque[float] = deque(maxlen=MAX_ENDED)
+        self.work_by_request: dict[tuple[str, int], EndpointWork] = {}
+        self.prefill_ends_at = 0.0
+        self.recent_end_times: deque[float] = deque(maxlen=MAX_RECENT_END_TIMES)
         self._report = EngineReport()
         self._full_until = 0.0
-        self._observed_at = -OBSERVATION_S
+        self._observed_at = -REPORT_TTL_S
 
     def observe(self, report: EngineReport) -> None:
         """Takes over what the endpoint reported."""
@@ -82,7 +82,7 @@
 
     def note_full(self) -> None:
         """Notes that the endpoint refused a request for want of room."""
-        self._full_until = monotonic_s() + FULL_S
+        self._full_until = monotonic_s() + FULL_TTL_S
 
     @property
     def is_full(self) -> bool:
@@ -90,7 +90,7 @@
         return monotonic_s() < self._full_until
 
     def _is_observed(self) -> bool:
-        return monotonic_s() - self._observed_at < OBSERVATION_S
+        return monotonic_s() - self._observed_at < REPORT_TTL_S
 
     @property
     def unknown_requests(self) -> int:
@@ -109,48 +109,58 @@
             return 1.0
         return max(1.0, self._report.slowdown)
 
-    def requests_lately(self) -> int:
+    def recent_request_count(self) -> int:
         """Counts requests that a late report may still include."""
-        since = monotonic_s() - REPORT_LAG_S
-        return len(self.shares) + sum(at >= since for at in self.ended_at)
+        since = monotonic_s() - REPORT_MAX_LAG_S
+        return len(self.work_by_request) + sum(
+            at >= since for at in self.recent_end_times
+        )
 
     def backlog_ms(self, now: float) -> float:
         """Returns the predicted rest of all reading, in milliseconds."""
-        return max(0.0, self.reads_until - now) * _MS_PER_S
+        return max(0.0, self.prefill_ends_at - now) * _MS_PER_S
 
-    def joint_reads(self, now: float) -> dict[tuple[str, int], WorkShare]:
+    def joint_prefills(self, now: float) -> dict[tuple[str, int], EndpointWork]:
         """Returns joint reads that are not believed to be done here."""
         return {
             key: share
-            for key, share in self.shares.items()
-            if share.joint and not share.writing and share.reads_until > now
+            for key, share in self.work_by_request.items()
+            if share.joint and not share.writing and share.prefill_ends_at > now
         }
 
-    def put_off(self, since: float, delay_s: float) -> None:
+    def delay_prefills(self, since: float, delay_s: float) -> None:
         """Moves all reading that ends after a loop time."""
-        for share in self.shares.values():
-            if share.reads_until > since:
-                share.reads_until += delay_s
+        for share in self.work_by_request.values():
+            if share.prefill_ends_at > since:
+                share.prefill_ends_at += delay_s
 
     @property
-    def writers(self) -> int:
+    def decode_count(self) -> int:
         """Requests whose answers are or will be written here."""
-        return sum(share.writes_here for share in self.shares.values())
+        return sum(
+            share.decodes_here for share in self.work_by_request.values()
+        )
 
     @property
-    def helping(self) -> int:
+    def helper_prefill_count(self) -> int:
         """Requests whose prompts are read here for another endpoint."""
-        return len(self.shares) - self.writers
+        return len(self.work_by_request) - self.decode_count
 
     @property
     def memory_tokens(self) -> int:
         """Memory that is used here."""
-        known = sum(share.memory_tokens for share in self.shares.values())
+        known = sum(
+            share.memory_tokens for share in self.work_by_request.values()
+        )
         return known + self.unknown_tokens
 
-    def gaps_ms(self) -> list[float]:
+    def target_gaps_ms(self) -> list[float]:
         """Returns the allowed pauses of the answers written here."""
-        return [s.target_gap_ms for s in self.shares.values() if s.writes_here]
+        return [
+            s.target_gap_ms
+            for s in self.work_by_request.values()
+            if s.decodes_here
+        ]
 
 
 class FleetLoad:
@@ -174,7 +184,7 @@
         known = self.items[daemon].get(item.id)
         if known is not None and known.endpoint == item.endpoint:
             if item.writing and not known.writing:
-                self.note_read(daemon, item.id)
+                self.note_prefilled(daemon, item.id)
             self._extend(daemon, item)
             return
         if known is not None:
@@ -193,10 +203,10 @@
             return
         for endpoint in (item.endpoint, *item.helpers):
             load = self.by_endpoint[endpoint]
-            share = load.shares.pop((daemon, item_id), None)
+            share = load.work_by_request.pop((daemon, item_id), None)
             if share is not None:
                 _end_reading(load, share)
-                load.ended_at.append(monotonic_s())
+                load.recent_end_times.append(monotonic_s())
 
     def replace(self, daemon: str, items: list[WorkItem]) -> None:
         """Takes over all requests of a daemon."""
@@ -206,7 +216,7 @@
         for item in items:
             self.add(daemon, item)
 
-    def note_read(self, daemon: str, item_id: int) -> None:
+    def note_prefilled(self, daemon: str, item_id: int) -> None:
         """Notes that a prompt has been read completely."""
         item = self.items[daemon].get(item_id)
         if item is None or item.writing:
@@ -214,13 +224,13 @@
         item.writing = True
         for endpoint in (item.endpoint, *item.helpers):
             load = self.by_endpoint[endpoint]
-            share = load.shares.get((daemon, item_id))
+            share = load.work_by_request.get((daemon, item_id))
             if share is None:
                 continue
             _end_reading(load, share)
             share.writing = True
-            if not share.writes_here and not share.memory_tokens:
-                del load.shares[daemon, item_id]
+            if not share.decodes_here and not share.memory_tokens:
+                del load.work_by_request[daemon, item_id]
 
     def expire(self, own: str) -> None:
         """Removes what should have ended long ago at other daemons."""
@@ -237,11 +247,15 @@
                 self.remove(daemon, item_id)
 
     def _ends_at(self, daemon: str, item: WorkItem) -> float:
-        share = self.by_endpoint[item.endpoint].shares.get((daemon, item.id))
+        share = self.by_endpoint[item.endpoint].work_by_request.get(
+            (daemon, item.id)
+        )
         return share.ends_at if share else 0.0
 
     def _extend(self, daemon: str, item: WorkItem) -> None:
-        share = self.by_endpoint[item.endpoint].shares.get((daemon, item.id))
+        share = self.by_endpoint[item.endpoint].work_by_request.get(
+            (daemon, item.id)
+        )
         if share is not None:
             share.ends_at = monotonic_s() + item.remaining_ms / _MS_PER_S
 
@@ -251,35 +265,38 @@
         now = monotonic_s()
         load = self.by_endpoint[endpoint]
         joint = bool(item.helpers)
-        read_s = 0.0 if item.writing else item.read_ms / _MS_PER_S
-        reads_from = max(now, load.reads_until)
-        load.reads_until = reads_from + read_s
+        prefill_s = 0.0 if item.writing else item.read_ms / _MS_PER_S
+        prefill_starts_at = max(now, load.prefill_ends_at)
+        load.prefill_ends_at = prefill_starts_at + prefill_s
         if joint:  # it goes first
-            load.put_off(now, read_s)
-            reads_from = now
-        load.shares[daemon, item.id] = WorkShare(
-            read_s=read_s,
-            reads_from=reads_from,
-            reads_until=reads_from + read_s,
+            load.delay_prefills(now, prefill_s)
+            prefill_starts_at = now
+        load.work_by_request[daemon, item.id] = EndpointWork(
+            prefill_s=prefill_s,
+            prefill_starts_at=prefill_starts_at,
+            prefill_ends_at=prefill_starts_at + prefill_s,
             due_at=now + item.due_ms / _MS_PER_S,
             ends_at=now + item.remaining_ms / _MS_PER_S,
             memory_tokens=memory_tokens,
             target_gap_ms=item.target_gap_ms,
-            writes_here=endpoint == item.endpoint,
+            decodes_here=endpoint == item.endpoint,
             writing=item.writing,
             joint=joint,
         )
 
 
-def _end_reading(load: EndpointLoad, share: WorkShare) -> None:
+def _end_reading(load: EndpointLoad, share: EndpointWork) -> None:
     """Gives back the reading time that a share no longer needs."""
     now = monotonic_s()
-    left_s = min(share.read_s, share.reads_until - max(now, share.reads_from))
+    left_s = min(
+        share.prefill_s,
+        share.prefill_ends_at - max(now, share.prefill_starts_at),
+    )
     if left_s > 0:
-        load.reads_until -= left_s
+        load.prefill_ends_at -= left_s
         if share.joint:
-            load.put_off(share.reads_until, -left_s)
-    share.reads_until = min(share.reads_until, now)
+            load.delay_prefills(share.prefill_ends_at, -left_s)
+    share.prefill_ends_at = min(share.prefill_ends_at, now)
 
 
-__all__ = ["EndpointLoad", "FleetLoad", "WorkShare"]
+__all__ = ["EndpointLoad", "FleetLoad", "EndpointWork"]
--- a/src/auburnswitch/routing/groups.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -11,19 +11,19 @@
 from auburnswitch.endpoints.groups import release_group, reserve_group
 from auburnswitch.endpoints.phases import CLOSED_PHASES, STRICT_PHASES
 from auburnswitch.results import Refusal, refusal
-from auburnswitch.routing.lengths import count_tokens
+from auburnswitch.routing.length_classes import estimate_tokens
 from auburnswitch.schema.objects import ServiceKind
 from auburnswitch.schema.peers import ReserveRequest
 from auburnswitch.schema.results import Ran, ResultCode
 
 if TYPE_CHECKING:
     from auburnswitch.endpoints.reservations import HeldReservation
-    from auburnswitch.routing.placement import Placer
+    from auburnswitch.routing.placer import Placer
     from auburnswitch.routing.request import RoutedRequest
 
-GROUP_WAIT_S: Final = 30.0
-GROUP_RETRY_S: Final = 0.5
-MAX_PARTS: Final = 16
+MAX_GROUP_WAIT_S: Final = 30.0
+MAX_GROUP_RETRY_DELAY_S: Final = 0.5
+MAX_SEGMENTS: Final = 16
 COMPLETIONS_PATH: Final = "/v1/completions"
 
 
@@ -34,22 +34,22 @@
     Attributes:
         parts: The reservations, in the order of the segments.
         segments: Text of each segment.
-        current: Number of the part that is in use.
+        active_index: Number of the part that is in use.
     """
 
-    parts: list[HeldReservation]
+    reservations: list[HeldReservation]
     segments: list[str]
-    current: int = 0
+    active_index: int = 0
 
     @property
     def endpoint(self) -> str:
         """The endpoint that is in use."""
-        return self.parts[self.current].endpoint
+        return self.reservations[self.active_index].endpoint
 
     @property
     def boot_id(self) -> str:
         """Start of the endpoint in use that its owner knew."""
-        return self.parts[self.current].boot_id
+        return self.reservations[self.active_index].boot_id
 
 
 class GroupPlacer:
@@ -104,9 +104,11 @@
             if isinstance(group, GroupReservation):
                 return group
             last = refusal(
-                ResultCode.QUEUE_FULL, ran=ran, retry_after_s=GROUP_WAIT_S
+                ResultCode.QUEUE_FULL, ran=ran, retry_after_s=MAX_GROUP_WAIT_S
+            )
+            await asyncio.sleep(
+                MAX_GROUP_RETRY_DELAY_S * self.placer.random.random()
             )
-            await asyncio.sleep(GROUP_RETRY_S * self.placer.random.random())
         return last
 
     def release(
@@ -115,7 +117,7 @@
         """Gives every part back."""
         release_group(
             self.placer.reservations,
-            group.parts,
+            group.reservations,
             succeeded=succeeded,
             may_still_run=may_still_run,
         )
@@ -130,7 +132,7 @@
         ]
         outcome = await reserve_group(self.placer.reservations, asked)
         if isinstance(outcome, list):
-            return GroupReservation(parts=outcome, segments=segments)
+            return GroupReservation(reservations=outcome, segments=segments)
         return None
 
     def _part(
@@ -144,13 +146,13 @@
             attempt=request.attempts,
             team=request.team,
             team_weight=request.team_weight,
-            prompt_tokens=count_tokens(segment, settings),
+            prompt_tokens=estimate_tokens(segment, settings),
             answer_tokens=request.answer_tokens if last else 0,
             length_class=request.length_class,
             fingerprint=request.fingerprint,
             struck=self.placer.strikes.is_struck(request.fingerprint),
             time_left_s=left_s,
-            max_wait_s=max(0.0, min(GROUP_WAIT_S, left_s)),
+            max_wait_s=max(0.0, min(MAX_GROUP_WAIT_S, left_s)),
             service=request.service,
         )
 
@@ -170,7 +172,7 @@
         table = self.placer.owner_table
         share = 1 - table.settings.routing.short_memory_share
         ordered = sorted(names, key=lambda n: table.best_hint(n).long_wait_s)
-        for count in range(2, min(MAX_PARTS, len(ordered)) + 1):
+        for count in range(2, min(MAX_SEGMENTS, len(ordered)) + 1):
             chosen = ordered[:count]
             room = min(table.state.endpoints[n].memory_tokens for n in chosen)
             segment = math.ceil(request.prompt_tokens / count) + count
--- a/src/auburnswitch/routing/group_run.py
+++ b/src/auburnswitch/routing/group_runner.py
@@ -23,7 +23,7 @@
     from auburnswitch.endpoints.reservations import HeldReservation
     from auburnswitch.observe.metrics import Metrics
     from auburnswitch.observe.tasks import TaskSet
-    from auburnswitch.routing.groups import GroupPlacer, GroupReservation
+    from auburnswitch.routing.group_placer import GroupPlacer, GroupReservation
     from auburnswitch.routing.progress import Progress
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.schema.objects import Endpoint
@@ -33,24 +33,24 @@
     """Prefills segments along a chain and streams the answer of the last.
 
     Attributes:
-        groups: Reserves and releases the groups.
+        group_placer: Reserves and releases the groups.
         client: Calls endpoints.
         metrics: The daemon's instruments.
         cleanups: What goes on after an attempt.
     """
 
-    __slots__ = ("cleanups", "client", "groups", "member_id", "metrics")
+    __slots__ = ("cleanups", "client", "group_placer", "member_id", "metrics")
 
     def __init__(
         self,
         *,
-        groups: GroupPlacer,
+        group_placer: GroupPlacer,
         client: EndpointClient,
         metrics: Metrics,
         member_id: str,
         cleanups: TaskSet,
     ) -> None:
-        self.groups = groups
+        self.group_placer = group_placer
         self.client = client
         self.metrics = metrics
         self.member_id = member_id
@@ -94,8 +94,8 @@
     ) -> list[dict[str, str]]:
         chain: list[dict[str, str]] = []
         for number, segment in enumerate(group.segments[:-1]):
-            group.current = number
-            held = group.parts[number]
+            group.active_index = number
+            held = group.reservations[number]
             spec = self._spec(held)
             body = {
                 "prompt": segment,
@@ -105,7 +105,7 @@
             kv_id = await self._prefill(request, held, spec, attempt, body)
             url = f"http://{spec.host}:{spec.port}"
             chain = [*chain, {"url": url, "kv_id": kv_id}]
-        group.current = len(group.parts) - 1
+        group.active_index = len(group.reservations) - 1
         return chain
 
     async def _prefill(
@@ -120,7 +120,7 @@
         rate = max(1, spec.prefill_tokens_per_second)
         patience_s += PREFILL_PATIENCE * held.work.prefill_tokens / rate
         until = min(request.deadline_at, monotonic_s() + patience_s)
-        guard = self.groups.placer.reservations.guard(held, attempt)
+        guard = self.group_placer.placer.reservations.guard(held, attempt)
         try:
             async with asyncio.timeout_at(until):
                 kv_id = await self._post_prefill(spec, attempt, body, guard)
@@ -131,7 +131,7 @@
                 "the prefill took too long", sent=True, lost=False
             ) from error
         held.work.prefill_tokens = 0
-        await self.groups.placer.reservations.note_prefilled(held)
+        await self.group_placer.placer.reservations.note_prefilled(held)
         return kv_id
 
     async def _post_prefill(
@@ -162,7 +162,7 @@
         progress: Progress,
         chain: list[dict[str, str]],
     ) -> AnswerStream:
-        held = group.parts[-1]
+        held = group.reservations[-1]
         body = request.body | {"prompt": group.segments[-1], "kv_chain": chain}
         return AnswerStream(
             client=self.client,
@@ -171,7 +171,7 @@
             spec=self._spec(held),
             attempt=attempt,
             progress=progress,
-            guard=self.groups.placer.reservations.guard(held, attempt),
+            guard=self.group_placer.placer.reservations.guard(held, attempt),
         )
 
     async def _free(
@@ -180,15 +180,15 @@
         """Frees what the attempt left on each endpoint, then its room."""
         freed = [
             await self._free_part(held, attempt)
-            for held in group.parts
+            for held in group.reservations
             if held.dispatched_at is not None
         ]
-        self.groups.release(
+        self.group_placer.release(
             group, succeeded=succeeded, may_still_run=not all(freed)
         )
 
     async def _free_part(self, held: HeldReservation, attempt: Attempt) -> bool:
-        state = self.groups.placer.owner_table.state
+        state = self.group_placer.placer.owner_table.state
         spec = state.endpoints.get(held.endpoint)
         if spec is None:
             return False
@@ -196,7 +196,7 @@
         return cancelled and await self.client.free_caches(spec, attempt)
 
     def _spec(self, held: HeldReservation) -> Endpoint:
-        state = self.groups.placer.owner_table.state
+        state = self.group_placer.placer.owner_table.state
         spec = state.endpoints.get(held.endpoint)
         if spec is None:
             raise EndpointFailureError(
--- a/src/auburnswitch/routing/lengths.py
+++ b/src/auburnswitch/routing/length_classes.py
@@ -12,13 +12,13 @@
     from auburnswitch.schema.settings import RoutingSettings
 
 
-def count_tokens(text: str, settings: RoutingSettings) -> int:
+def estimate_tokens(text: str, settings: RoutingSettings) -> int:
     """Estimates the tokens of a text from its size in UTF-8."""
     size_bytes = len(text) if text.isascii() else len(text.encode())
     return max(1, math.ceil(size_bytes / settings.bytes_per_token))
 
 
-def length_class(tokens: int, settings: RoutingSettings) -> LengthClass:
+def classify_length(tokens: int, settings: RoutingSettings) -> LengthClass:
     """Returns the length class of a prompt."""
     if tokens <= settings.short_max_tokens:
         return LengthClass.SHORT
@@ -38,4 +38,4 @@
             return service.long_deadline_s
 
 
-__all__ = ["count_tokens", "default_deadline_s", "length_class"]
+__all__ = ["estimate_tokens", "default_deadline_s", "classify_length"]
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -25,11 +25,13 @@
     from auburnswitch.platform.endpoint_calls import EndpointCalls
     from auburnswitch.routing.fleet_load import FleetLoad
 
-INTERVAL_S: Final = 2.0
-BUSY_INTERVAL_S: Final = 0.5  # after the start, and while something is unknown
-START_S: Final = 8.0
-SLOW_RATIO: Final = 1.15
-MOST_AT_ONCE: Final = 24
+OBSERVE_INTERVAL_S: Final = 2.0
+FAST_OBSERVE_INTERVAL_S: Final = (
+    0.5  # after the start, and while something is unknown
+)
+STARTUP_S: Final = 8.0
+SLOWDOWN_THRESHOLD: Final = 1.15
+MAX_CONCURRENT_REPORTS: Final = 24
 
 
 class LoadObserver:
@@ -43,9 +45,9 @@
         installation: The endpoints.
         load: What all daemons have at each endpoint.
         calls: Calls to endpoints.
-        me: This daemon's instance.
-        live_daemons: Returns the instances of the live peers.
-        tell: Tells the peers of reports.
+        instance: This daemon's instance.
+        live_instances: Returns the instances of the live peers.
+        publish: Tells the peers of reports.
     """
 
     __slots__ = (
@@ -55,10 +57,10 @@
         "_started_at",
         "calls",
         "installation",
-        "live_daemons",
+        "instance",
+        "live_instances",
         "load",
-        "me",
-        "tell",
+        "publish",
     )
 
     def __init__(
@@ -67,16 +69,16 @@
         installation: Installation,
         load: FleetLoad,
         calls: EndpointCalls,
-        me: str,
-        live_daemons: Callable[[], Iterable[str]],
-        tell: Callable[[list[EngineReport]], None],
+        instance: str,
+        live_instances: Callable[[], Iterable[str]],
+        publish: Callable[[list[EngineReport]], None],
     ) -> None:
         self.installation = installation
         self.load = load
         self.calls = calls
-        self.me = me
-        self.live_daemons = live_daemons
-        self.tell = tell
+        self.instance = instance
+        self.live_instances = live_instances
+        self.publish = publish
         self._started_at = monotonic_s()
         self._next_at: dict[str, float] = {}
         self._observed: list[KnownEndpoint] = []
@@ -85,14 +87,14 @@
     async def run(self) -> None:
         """Observes engines until it is cancelled."""
         while True:
-            await asyncio.sleep(BUSY_INTERVAL_S)
+            await asyncio.sleep(FAST_OBSERVE_INTERVAL_S)
             due = self._due()
             reports = await asyncio.gather(*map(self._observe, due))
             news = [report for report in reports if report is not None]
             if news:
-                self.tell(news)
+                self.publish(news)
 
-    def note(self, report: EngineReport) -> None:
+    def apply_report(self, report: EngineReport) -> None:
         """Takes over a report that a peer has read."""
         self.load.by_endpoint[report.endpoint].observe(report)
 
@@ -106,14 +108,14 @@
             if self._next_at.get(known.entry.id, 0.0) <= now
         ]
         due.sort(key=lambda known: self._next_at.get(known.entry.id, 0.0))
-        return due[:MOST_AT_ONCE]
+        return due[:MAX_CONCURRENT_REPORTS]
 
     def _share_out(self) -> None:
         """Finds this daemon's engines again if anything has changed."""
         table = self.installation.table
         if table is None:
             return
-        daemons = frozenset([*self.live_daemons(), self.me])
+        daemons = frozenset([*self.live_instances(), self.instance])
         current = (daemons, self.installation.endpoints_revision)
         if current == self._observed_of:
             return
@@ -124,7 +126,7 @@
             known
             for known in self.installation.endpoints.values()
             if known.entry.service_name in engines
-            and ring.owner(known.entry.id) == self.me
+            and ring.owner(known.entry.id) == self.instance
         ]
 
     async def _observe(self, known: KnownEndpoint) -> EngineReport | None:
@@ -133,9 +135,9 @@
         load = self.load.by_endpoint[known.entry.id]
         answer = await self.calls.report(known.entry)
         if answer is None:
-            self._next_at[known.entry.id] = now + INTERVAL_S
+            self._next_at[known.entry.id] = now + OBSERVE_INTERVAL_S
             return None
-        writers = load.requests_lately()
+        writers = load.recent_request_count()
         unknown = max(0, answer.requests - writers)
         known_tokens = load.memory_tokens - load.unknown_tokens
         report = EngineReport(
@@ -146,11 +148,13 @@
         )
         if not unknown:
             report.unknown_tokens = 0  # of requests that have just ended
-        before = load.unknown_requests > 0 or load.slowdown >= SLOW_RATIO
-        strange = unknown > 0 or answer.slowdown >= SLOW_RATIO
+        before = (
+            load.unknown_requests > 0 or load.slowdown >= SLOWDOWN_THRESHOLD
+        )
+        strange = unknown > 0 or answer.slowdown >= SLOWDOWN_THRESHOLD
         load.observe(report)
-        soon = strange or now < self._started_at + START_S
-        interval_s = BUSY_INTERVAL_S if soon else INTERVAL_S
+        soon = strange or now < self._started_at + STARTUP_S
+        interval_s = FAST_OBSERVE_INTERVAL_S if soon else OBSERVE_INTERVAL_S
         self._next_at[known.entry.id] = now + interval_s
         if not strange and not before:
             return None
--- a/src/auburnswitch/routing/joint_memory.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -15,17 +15,19 @@
     from collections.abc import AsyncIterator
 
     from auburnswitch.platform.endpoint_calls import EndpointCalls
-    from auburnswitch.routing.endpoint_choice import Placement
+    from auburnswitch.routing.endpoint_selector import Placement
     from auburnswitch.schema.installation import EndpointEntry
 
-HOLD_MS: Final = 3400  # an engine frees it by itself if this daemon dies
+RESERVATION_LEASE_MS: Final = (
+    3400  # an engine frees it by itself if this daemon dies
+)
 RENEW_INTERVAL_S: Final = 1.0
-RELEASE_TRIES: Final = 3
-RELEASE_PAUSE_S: Final = 0.3
+MAX_RELEASE_ATTEMPTS: Final = 3
+RELEASE_RETRY_DELAY_S: Final = 0.3
 
 
 @dataclass(slots=True, kw_only=True)
-class MemoryRefused:
+class MemoryRefusal:
     """Some engines did not grant a reservation; none is kept.
 
     Attributes:
@@ -35,27 +37,27 @@
     endpoints: list[str]
 
 
-class JointMemory:
+class MemoryReservations:
     """Makes, renews and ends reservations, all of a prompt or none.
 
     Attributes:
         calls: Calls to endpoints.
         prefix: Start of all keys, unique to this process.
-        releasing: Tasks that still end reservations.
+        release_tasks: Tasks that still end reservations.
     """
 
-    __slots__ = ("_number", "calls", "prefix", "releasing")
+    __slots__ = ("_number", "calls", "prefix", "release_tasks")
 
     def __init__(self, *, calls: EndpointCalls, prefix: str) -> None:
         self.calls = calls
         self.prefix = prefix
-        self.releasing: set[asyncio.Task[None]] = set()
+        self.release_tasks: set[asyncio.Task[None]] = set()
         self._number = 0
 
     @contextlib.asynccontextmanager
     async def reserve(
         self, request_id: str, placement: Placement
-    ) -> AsyncIterator[list[ReadHelper] | MemoryRefused]:
+    ) -> AsyncIterator[list[ReadHelper] | MemoryRefusal]:
         """Reserves a placement's memory until the context ends.
 
         Yields:
@@ -84,7 +86,7 @@
                 refused=refused,
             )
             if refused:
-                yield MemoryRefused(endpoints=refused)
+                yield MemoryRefusal(endpoints=refused)
                 return
             renewing = asyncio.create_task(self._renew(holders, key, tokens))
             try:
@@ -105,7 +107,9 @@
         """Returns the ids of the engines that did not grant it."""
         answers = await asyncio.gather(
             *(
-                self.calls.reserve(e, key=key, tokens=tokens, hold_ms=HOLD_MS)
+                self.calls.reserve(
+                    e, key=key, tokens=tokens, hold_ms=RESERVATION_LEASE_MS
+                )
                 for e in endpoints
             )
         )
@@ -124,15 +128,15 @@
 
     def _start_release(self, endpoint: EndpointEntry, key: str) -> None:
         task = asyncio.create_task(self._release(endpoint, key))
-        self.releasing.add(task)
-        task.add_done_callback(self.releasing.discard)
+        self.release_tasks.add(task)
+        task.add_done_callback(self.release_tasks.discard)
 
     async def _release(self, endpoint: EndpointEntry, key: str) -> None:
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_RELEASE_ATTEMPTS):
             if await self.calls.release(endpoint, key=key):
                 return
-            await asyncio.sleep(RELEASE_PAUSE_S)
+            await asyncio.sleep(RELEASE_RETRY_DELAY_S)
         log_event(EventId.MEMORY_NOT_RELEASED, key=key, endpoint=endpoint.id)
 
 
-__all__ = ["JointMemory", "MemoryRefused"]
+__all__ = ["MemoryReservations", "MemoryRefusal"]
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -9,19 +9,24 @@
 
 if TYPE_CHECKING:
     from auburnswitch.routing.delivery_job import DeliveryJob
-    from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
+    from auburnswitch.routing.endpoint_selector import (
+        EndpointSelector,
+        Placement,
+    )
 
-PLACEMENT_INTERVAL_S: Final = 0.02
-PLACEMENT_WAIT_SHARE: Final = 0.12  # of the target latency
+PLACEMENT_POLL_INTERVAL_S: Final = 0.02
+MAX_PLACEMENT_WAIT_SHARE: Final = 0.12  # of the target latency
 YIELD_MIN_TARGET_S: Final = 1.0  # callers of shorter ones leave soon
-YIELD_TARGETS: Final = 1.3
-YIELD_TIME_SHARE: Final = 0.3  # of the time left
-PATIENT_SHARE: Final = 0.8  # of the target latency that is left
-LAST_MOMENT: Final = 1.25  # of the time that the answer's start still takes
+MAX_YIELD_TARGET_RATIO: Final = 1.3
+MAX_YIELD_TIME_SHARE: Final = 0.3  # of the time left
+MAX_DEFERRAL_TARGET_SHARE: Final = 0.8  # of the target latency that is left
+DEADLINE_SAFETY_FACTOR: Final = (
+    1.25  # of the time that the answer's start still takes
+)
 
 
 async def wait_for_placement(
-    chooser: EndpointChooser, job: DeliveryJob
+    selector: EndpointSelector, job: DeliveryJob
 ) -> Placement | None:
     """Waits a short time for room at an endpoint.
 
@@ -33,10 +38,10 @@
     """
     target_s = job.route.target_latency_s
     now = monotonic_s()
-    give_up_at = now + target_s * PLACEMENT_WAIT_SHARE
+    give_up_at = now + target_s * MAX_PLACEMENT_WAIT_SHARE
     yield_until = now + _yield_s(job)
-    while chooser.could_serve(job):
-        placement = chooser.choose(job)
+    while selector.is_feasible(job):
+        placement = selector.select(job)
         now = monotonic_s()
         if placement is not None and (
             placement.first_token_s > job.time_left_s()
@@ -48,18 +53,21 @@
             now >= yield_until or not _should_wait(job, placement)
         ):
             return placement
-        await asyncio.sleep(PLACEMENT_INTERVAL_S)
+        await asyncio.sleep(PLACEMENT_POLL_INTERVAL_S)
     return None
 
 
 def _should_wait(job: DeliveryJob, placement: Placement) -> bool:
     """Whether waiting serves others and costs the request nothing."""
-    if placement.first_token_s * LAST_MOMENT > job.time_left_s():
+    if placement.first_token_s * DEADLINE_SAFETY_FACTOR > job.time_left_s():
         return False
     if placement.late:
         return True
-    slack_s = job.target_left_s() * PATIENT_SHARE - placement.first_token_s
-    return placement.harmful and slack_s > 0
+    slack_s = (
+        job.target_left_s() * MAX_DEFERRAL_TARGET_SHARE
+        - placement.first_token_s
+    )
+    return placement.delays_others and slack_s > 0
 
 
 def _yield_s(job: DeliveryJob) -> float:
@@ -67,7 +75,10 @@
     target_s = job.route.target_latency_s
     if target_s < YIELD_MIN_TARGET_S:
         return 0.0
-    return min(YIELD_TARGETS * target_s, YIELD_TIME_SHARE * job.time_left_s())
+    return min(
+        MAX_YIELD_TARGET_RATIO * target_s,
+        MAX_YIELD_TIME_SHARE * job.time_left_s(),
+    )
 
 
 __all__ = ["wait_for_placement"]
--- a/src/auburnswitch/routing/placement.py
+++ b/src/auburnswitch/routing/placer.py
@@ -36,17 +36,19 @@
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.routing.strikes import StrikeBook
 
-ROUND_DELAY_S: Final = 0.05
-OWNER_WAIT_S: Final = 1.0
+PROBE_ROUND_DELAY_S: Final = 0.05
+MAX_OWNER_WAIT_S: Final = 1.0
 WAIT_SLACK_S: Final = 0.01
 COLD_RETRY_AFTER_S: Final = 5.0
-FRESH_S: Final = 0.05
-STALENESS: Final = 0.2  # wait that may have come, per second of a hint's age
-STALENESS_LIMIT_S: Final = 1.0
-UNKNOWN_PENALTY_S: Final = 0.5
+FRESH_HINT_MAX_AGE_S: Final = 0.05
+STALENESS_PENALTY_PER_S: Final = (
+    0.2  # wait that may have come, per second of a hint's age
+)
+STALENESS_MAX_AGE_S: Final = 1.0
+UNKNOWN_PHASE_PENALTY_S: Final = 0.5
 FULL_PENALTY_S: Final = 1.0
-SHORT_PROBES: Final = 4
-LONG_PROBES: Final = 8
+MAX_SHORT_PROBES: Final = 4
+MAX_LONG_PROBES: Final = 8
 
 
 @dataclass(slots=True, kw_only=True)
@@ -66,7 +68,7 @@
         strikes: Requests that were in flight at crashes.
     """
 
-    __slots__ = ("owner_table", "policy", "random", "reservations", "strikes")
+    __slots__ = ("owner_table", "policy", "reservations", "rng", "strikes")
 
     def __init__(
         self,
@@ -81,7 +83,7 @@
         self.policy = policy
         self.strikes = strikes
         self.reservations = reservations
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
 
     async def place(
         self, request: RoutedRequest, excluded: set[str]
@@ -109,7 +111,7 @@
             return refusal(
                 ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
             )
-        sample = self.random.sample(names, min(choices, len(names)))
+        sample = self.rng.sample(names, min(choices, len(names)))
         best = min(sample, key=self._reported_tokens)
         work = unreserved_work(best, request)
         return self.reservations.hold_unasked(work, request.deadline_at)
@@ -138,7 +140,7 @@
                     return last
                 case Refusal():
                     last = outcome
-            await asyncio.sleep(ROUND_DELAY_S)
+            await asyncio.sleep(PROBE_ROUND_DELAY_S)
         return last
 
     async def _ask_round(
@@ -211,7 +213,7 @@
         return self._wait_s(request, names[1]) + WAIT_SLACK_S
 
     def _is_fresh(self, name: str) -> bool:
-        return self._hint_age_s(name) <= FRESH_S
+        return self._hint_age_s(name) <= FRESH_HINT_MAX_AGE_S
 
     def _hint_age_s(self, name: str) -> float:
         if self.owner_table.owns(name):
@@ -249,7 +251,7 @@
         ]
         if self.strikes.is_struck(request.fingerprint):
             return self._struck_order(request, names)
-        self.random.shuffle(names)
+        self.rng.shuffle(names)
         return sorted(names, key=lambda name: self._wait_s(request, name))
 
     def _struck_order(
@@ -278,7 +280,7 @@
         left_s = max(0.0, wait_s - age_s)
         if hint.long_wait_s - age_s > max(left_s, CHUNK_DELAY_S):
             left_s = max(left_s, CHUNK_DELAY_S)  # a long prompt gives way
-        unseen_s = STALENESS * min(age_s, STALENESS_LIMIT_S)
+        unseen_s = STALENESS_PENALTY_PER_S * min(age_s, STALENESS_MAX_AGE_S)
         return left_s + unseen_s + _penalty_s(request, hint)
 
     async def _reserve(
@@ -302,16 +304,16 @@
                 fingerprint=request.fingerprint,
                 struck=self.strikes.is_struck(request.fingerprint),
                 time_left_s=left_s,
-                max_wait_s=max(0.0, min(OWNER_WAIT_S, left_s)),
+                max_wait_s=max(0.0, min(MAX_OWNER_WAIT_S, left_s)),
                 max_start_wait_s=limit_s,
                 waited_s=waited_s,
                 service=request.service,
-                epoch=table_epoch(self.owner_table),
+                epoch=roster_epoch(self.owner_table),
             )
         )
 
 
-def table_epoch(table: OwnerTable) -> int:
+def roster_epoch(table: OwnerTable) -> int:
     """Returns the roster epoch that the owner table goes by."""
     return table.view.roster.epoch
 
@@ -337,15 +339,15 @@
 
 def _probes(request: RoutedRequest) -> int:
     if request.length_class is LengthClass.LONG:
-        return LONG_PROBES
-    return SHORT_PROBES
+        return MAX_LONG_PROBES
+    return MAX_SHORT_PROBES
 
 
 def _penalty_s(request: RoutedRequest, hint: EndpointHint) -> float:
     """Returns what makes an endpoint less promising than its wait."""
     penalty_s = 0.0
     if hint.phase is EndpointPhase.UNKNOWN:
-        penalty_s += UNKNOWN_PENALTY_S
+        penalty_s += UNKNOWN_PHASE_PENALTY_S
     if hint.running >= hint.max_running:
         penalty_s += FULL_PENALTY_S
     needed = request.prompt_tokens + request.answer_tokens
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from auburnswitch.endpoints.client import EndpointClient
     from auburnswitch.endpoints.reservations import HeldReservation
-    from auburnswitch.routing.placement import Placer
+    from auburnswitch.routing.placer import Placer
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.routing.team_limits import TeamLimits
 
--- a/src/auburnswitch/routing/silence.py
+++ b/src/auburnswitch/routing/silence.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from auburnswitch.routing.delivery_job import DeliveryJob
-    from auburnswitch.routing.endpoint_choice import Placement
+    from auburnswitch.routing.endpoint_selector import Placement
 
 FIRST_EVENT_WAIT_S: Final = 1.0
 FIRST_EVENT_TARGETS: Final = 2.0  # target latencies until the first event
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -17,7 +17,10 @@
     from auburnswitch.observe.statistics import EntryStatistics
     from auburnswitch.platform.endpoint_calls import AnswerHead
     from auburnswitch.routing.delivery_job import DeliveryJob
-    from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
+    from auburnswitch.routing.endpoint_selector import (
+        EndpointSelector,
+        Placement,
+    )
     from auburnswitch.routing.outcomes import AnswerWriter, DeliveryProgress
     from auburnswitch.routing.silence import SilenceWatchdog
 
@@ -26,7 +29,7 @@
     """Relays the events of one attempt.
 
     Attributes:
-        chooser: Is told when the prompt has been read.
+        selector: Is told when the prompt has been read.
         statistics: Counts the time to the first event.
         job: The request.
         placement: Where it was sent.
@@ -38,10 +41,10 @@
     """
 
     __slots__ = (
-        "chooser",
         "job",
         "placement",
         "progress",
+        "selector",
         "splitter",
         "statistics",
         "timer",
@@ -52,7 +55,7 @@
     def __init__(
         self,
         *,
-        chooser: EndpointChooser,
+        selector: EndpointSelector,
         statistics: EntryStatistics,
         job: DeliveryJob,
         placement: Placement,
@@ -61,7 +64,7 @@
         timer: asyncio.Timeout,
         waits: SilenceWatchdog,
     ) -> None:
-        self.chooser = chooser
+        self.selector = selector
         self.statistics = statistics
         self.job = job
         self.placement = placement
@@ -105,7 +108,7 @@
         self.progress.last_event_id = event_id(new[-1]) or last_id
 
     def _note_read(self) -> None:
-        self.chooser.note_read(self.placement)
+        self.selector.note_prefilled(self.placement)
         after_s = monotonic_s() - self.job.arrived_at
         tokens = self.job.request.prompt_tokens
         self.statistics.note_first_event(tokens, after_s)
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -96,7 +96,7 @@
             call = asyncio.create_task(fleet.call("/chat/1", tokens="900,50"))
             await until(
                 lambda: all(
-                    d.load.by_endpoint["engine-0"].writers == 1
+                    d.load.by_endpoint["engine-0"].decode_count == 1
                     for d in fleet.daemons
                 )
             )
@@ -104,7 +104,7 @@
             await until(
                 lambda: (
                     not any(
-                        d.load.by_endpoint["engine-0"].shares
+                        d.load.by_endpoint["engine-0"].work_by_request
                         for d in fleet.daemons
                     )
                 ),
--- a/tests/routing/test_fleet_load.py
+++ b/tests/routing/test_fleet_load.py
@@ -29,11 +29,11 @@
             self.assertAlmostEqual(
                 load.by_endpoint["a"].backlog_ms(now), 100.0, delta=0.1
             )
-            load.note_read("peer", 1)
+            load.note_prefilled("peer", 1)
             self.assertAlmostEqual(
                 load.by_endpoint["a"].backlog_ms(now), 0.0, delta=0.1
             )
-            self.assertEqual(load.by_endpoint["a"].writers, 1)
+            self.assertEqual(load.by_endpoint["a"].decode_count, 1)
 
         run_virtual(run)
 
@@ -52,12 +52,12 @@
             )
             self.assertEqual(load.by_endpoint["b"].memory_tokens, 7)
             self.assertEqual(load.by_endpoint["c"].memory_tokens, 0)
-            self.assertEqual(load.by_endpoint["c"].helping, 1)
-            load.note_read("me", 1)
+            self.assertEqual(load.by_endpoint["c"].helper_prefill_count, 1)
+            load.note_prefilled("me", 1)
             self.assertEqual(load.by_endpoint["b"].memory_tokens, 7)
-            self.assertFalse(load.by_endpoint["c"].shares)
+            self.assertFalse(load.by_endpoint["c"].work_by_request)
             load.remove("me", 1)
-            self.assertFalse(load.by_endpoint["b"].shares)
+            self.assertFalse(load.by_endpoint["b"].work_by_request)
 
         run_virtual(run)
 
@@ -68,15 +68,17 @@
             for number in (1, 2):
                 load.add("me", item(number, helpers=["b"], due_ms=150.0))
             load.add("me", item(3))
-            reads = load.by_endpoint["a"].joint_reads(now)
-            until = [share.reads_until - now for share in reads.values()]
+            reads = load.by_endpoint["a"].joint_prefills(now)
+            until = [share.prefill_ends_at - now for share in reads.values()]
             self.assertAlmostEqual(until[0], 0.2, delta=0.01)
             self.assertAlmostEqual(until[1], 0.1, delta=0.01)
-            alone = load.by_endpoint["a"].shares["me", 3]
-            self.assertAlmostEqual(alone.reads_from - now, 0.2, delta=0.01)
+            alone = load.by_endpoint["a"].work_by_request["me", 3]
+            self.assertAlmostEqual(
+                alone.prefill_starts_at - now, 0.2, delta=0.01
+            )
             load.remove("me", 2)
-            (first,) = load.by_endpoint["a"].joint_reads(now).values()
-            self.assertAlmostEqual(first.reads_until - now, 0.1, delta=0.01)
+            (first,) = load.by_endpoint["a"].joint_prefills(now).values()
+            self.assertAlmostEqual(first.prefill_ends_at - now, 0.1, delta=0.01)
             self.assertAlmostEqual(
                 load.by_endpoint["a"].backlog_ms(now), 200.0, delta=1
             )
@@ -89,8 +91,8 @@
             load.add("peer", item(1))
             load.add("peer", item(2))
             load.replace("peer", [item(2), item(3, endpoint="b")])
-            self.assertEqual(load.by_endpoint["a"].writers, 1)
-            self.assertEqual(load.by_endpoint["b"].writers, 1)
+            self.assertEqual(load.by_endpoint["a"].decode_count, 1)
+            self.assertEqual(load.by_endpoint["b"].decode_count, 1)
 
         run_virtual(run)
 
@@ -101,7 +103,7 @@
             load.add("me", item(1, remaining_ms=100.0))
             await asyncio.sleep(3)
             load.expire("me")
-            self.assertEqual(load.by_endpoint["a"].writers, 1)
+            self.assertEqual(load.by_endpoint["a"].decode_count, 1)
             self.assertIn(1, load.items["me"])
 
         run_virtual(run)
--- a/tests/routing/test_groups.py
+++ b/tests/routing/test_group_placer.py
@@ -16,7 +16,7 @@
     open_fleet,
 )
 from auburnswitch.experiments.placement import warm_up
-from auburnswitch.routing.groups import split_prompt
+from auburnswitch.routing.group_placer import split_prompt
 from auburnswitch.standins.answers import answer_text, prompt_digest
 from auburnswitch.standins.engine_model import EngineOptions
 from tests.virtual_time import SimulatedConnector, run_virtual
--- a/tests/routing/test_joint_waves.py
+++ b/tests/routing/test_joint_prefills.py
@@ -19,12 +19,12 @@
 from tests.routing.test_placement_wait import (
     TARGET_S,
     make_job,
-    open_chooser,
+    open_selector,
 )
 from tests.virtual_time import run_virtual
 
 if TYPE_CHECKING:
-    from auburnswitch.routing.endpoint_choice import EndpointChooser
+    from auburnswitch.routing.endpoint_selector import EndpointSelector
 
 STEP_S = 0.005
 ENGINES = 12
@@ -61,14 +61,14 @@
             await asyncio.sleep(STEP_S)
 
 
-async def serve(chooser: EndpointChooser, engines: NewestFirst, tokens: int):
+async def serve(selector: EndpointSelector, engines: NewestFirst, tokens: int):
     """Returns the time to the first token of one prompt, in seconds."""
     job = make_job(tokens)
     started_at = monotonic_s()
-    placement = await wait_for_placement(chooser, job)
+    placement = await wait_for_placement(selector, job)
     if placement is None:
         return LONGEST_S
-    chooser.start(job, placement)
+    selector.start(job, placement)
     item = placement.item
     try:
         async with asyncio.timeout(LONGEST_S):
@@ -78,19 +78,19 @@
     except TimeoutError:
         return LONGEST_S
     finally:
-        chooser.end(placement)
+        selector.end(placement)
     return monotonic_s() - started_at
 
 
 async def wave() -> list[float]:
     """Returns the times to the first tokens of a wave of prompts."""
-    chooser, engines = open_chooser(ENGINES), NewestFirst()
+    selector, engines = open_selector(ENGINES), NewestFirst()
     running = asyncio.create_task(engines.run())
     chance = random.Random(3)
     tasks = []
     for _ in range(JOBS):
         tokens = chance.randint(120_000, 250_000)
-        tasks.append(asyncio.create_task(serve(chooser, engines, tokens)))
+        tasks.append(asyncio.create_task(serve(selector, engines, tokens)))
         await asyncio.sleep(ARRIVAL_S)
     times = await asyncio.gather(*tasks)
     running.cancel()
--- a/tests/routing/test_load_observer.py
+++ b/tests/routing/test_load_observer.py
@@ -8,7 +8,10 @@
 from auburnswitch.configuration.installation import Installation
 from auburnswitch.platform.endpoint_calls import LoadReport
 from auburnswitch.routing.fleet_load import FleetLoad
-from auburnswitch.routing.load_observer import MOST_AT_ONCE, LoadObserver
+from auburnswitch.routing.load_observer import (
+    MAX_CONCURRENT_REPORTS,
+    LoadObserver,
+)
 from auburnswitch.schema.installation import (
     EndpointEntry,
     EndpointList,
@@ -58,9 +61,9 @@
                 installation=installation(),
                 load=FleetLoad(),
                 calls=calls,
-                me=name,
-                live_daemons=lambda: peers,
-                tell=lambda reports: None,
+                instance=name,
+                live_instances=lambda: peers,
+                publish=lambda reports: None,
             )
             running = asyncio.create_task(observer.run())
             await asyncio.sleep(seconds)
@@ -71,7 +74,7 @@
 
     def test_daemon_that_believes_to_be_alone_asks_few_at_a_time(self):
         calls = self.observe("entry-0", [], 10)
-        self.assertLessEqual(calls.most, MOST_AT_ONCE)
+        self.assertLessEqual(calls.most, MAX_CONCURRENT_REPORTS)
 
     def test_each_engine_has_one_observer(self):
         names = [f"entry-{n}" for n in range(DAEMONS)]
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -13,7 +13,10 @@
 from typing import NamedTuple
 
 from auburnswitch.platform.endpoint_calls import CONNECT_TIMEOUT_S
-from auburnswitch.routing.joint_memory import HOLD_MS, RENEW_INTERVAL_S
+from auburnswitch.routing.memory_reservations import (
+    RENEW_INTERVAL_S,
+    RESERVATION_LEASE_MS,
+)
 from tests.model_search import BrokenRuleError, search
 
 TICK_S = 0.6  # in which a call arrives or is lost
@@ -71,7 +74,7 @@
         stops_renewing: Renewals end with the request.
     """
 
-    hold: int = int(HOLD_MS / 1000 / TICK_S)
+    hold: int = int(RESERVATION_LEASE_MS / 1000 / TICK_S)
     renew: int = max(1, int(RENEW_INTERVAL_S / TICK_S))
     free: int = int(FREE_S / TICK_S)
     needs_all: bool = True
--- a/tests/routing/test_placement_wait.py
+++ b/tests/routing/test_placement_wait.py
@@ -10,13 +10,13 @@
 from auburnswitch.members.cells import Cells
 from auburnswitch.platform.requests import decode_request
 from auburnswitch.routing.delivery_job import DeliveryJob
-from auburnswitch.routing.endpoint_choice import EndpointChooser
 from auburnswitch.routing.endpoint_health import EndpointHealth
+from auburnswitch.routing.endpoint_selector import EndpointSelector
 from auburnswitch.routing.fleet_load import FleetLoad
 from auburnswitch.routing.placement_wait import wait_for_placement
 from auburnswitch.schema.gossip import EngineReport
 from auburnswitch.schema.installation import EndpointEntry, Route, Service
-from tests.routing.test_prompt_placement import MODEL
+from tests.routing.test_prefill_planner import MODEL
 from tests.virtual_time import run_virtual
 
 TARGET_S = 4.0
@@ -54,9 +54,9 @@
         pass
 
 
-def open_chooser(engines: int, instance: str = "a") -> EndpointChooser:
+def open_selector(engines: int, instance: str = "a") -> EndpointSelector:
     installation = OpenEndpoints(engines)
-    return EndpointChooser(
+    return EndpointSelector(
         instance=instance,
         zone="z",
         installation=installation,
@@ -66,7 +66,7 @@
         rates=AnyRate(),
         on_change=lambda items, ended: None,
         group=lambda: "",
-        chance=random.Random(5),
+        rng=random.Random(5),
     )
 
 
@@ -95,8 +95,8 @@
         async def run():
             chosen = set()
             for number in range(12):
-                chooser = open_chooser(20, f"entry-{number}")
-                placement = chooser.choose(make_job(tokens))
+                selector = open_selector(20, f"entry-{number}")
+                placement = selector.select(make_job(tokens))
                 chosen.add(placement.endpoint.entry.id)
             return chosen
 
@@ -114,16 +114,16 @@
         """Returns a placement, or None, and the time that it took."""
 
         async def run():
-            chooser = open_chooser(engines)
+            selector = open_selector(engines)
             if full:
-                for known in chooser.installation.known:
+                for known in selector.installation.known:
                     report = EngineReport(unknown_tokens=MODEL.memory_tokens)
-                    chooser.load.by_endpoint[known.entry.id].observe(report)
+                    selector.load.by_endpoint[known.entry.id].observe(report)
             job = make_job(tokens)
             job.excluded.update(excluded)
             job.deadline_at = monotonic_s() + time_left_s
             started = monotonic_s()
-            placement = await wait_for_placement(chooser, job)
+            placement = await wait_for_placement(selector, job)
             return placement, monotonic_s() - started
 
         return run_virtual(run)
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placer.py
@@ -10,7 +10,7 @@
 from auburnswitch.endpoints.hints import HintBook
 from auburnswitch.endpoints.reservations import HeldReservation
 from auburnswitch.results import Refusal
-from auburnswitch.routing.placement import LONG_PROBES, Placer
+from auburnswitch.routing.placer import MAX_LONG_PROBES, Placer
 from auburnswitch.routing.policy import OwnerReservations
 from auburnswitch.routing.request import RoutedRequest
 from auburnswitch.routing.strikes import StrikeBook
@@ -135,5 +135,5 @@
         self.assertEqual(outcome.code, ResultCode.QUEUE_FULL)
         self.assertEqual(outcome.ran, Ran.NO)
         self.assertGreaterEqual(outcome.retry_after_s, 20)
-        self.assertLessEqual(len(asked), LONG_PROBES)
+        self.assertLessEqual(len(asked), MAX_LONG_PROBES)
         self.assertEqual(took_s, 0)
--- a/tests/routing/test_prompt_placement.py
+++ b/tests/routing/test_prefill_planner.py
@@ -7,10 +7,10 @@
 import unittest
 
 from auburnswitch.configuration.installation import KnownEndpoint
-from auburnswitch.routing import engine_speed
-from auburnswitch.routing.engine_candidate import Prompt
+from auburnswitch.routing import engine_latency
+from auburnswitch.routing.engine_candidate import PromptRequirements
 from auburnswitch.routing.fleet_load import FleetLoad
-from auburnswitch.routing.prompt_placement import choose_engines
+from auburnswitch.routing.prefill_planner import plan_prefill
 from auburnswitch.schema.gossip import EngineReport, WorkItem
 from auburnswitch.schema.installation import EndpointEntry, EngineModel
 from tests.virtual_time import in_loop, run_virtual
@@ -25,10 +25,14 @@
     read_tokens_per_s=177_000.0,
     read_per_megapair_ms=0.184,
 )
-SHORT = Prompt(tokens=5_000, answer_tokens=1_700, target_ms=300, gap_ms=250)
-BRIEF = Prompt(tokens=45_000, answer_tokens=1_000, target_ms=1_500, gap_ms=600)
-REVIEW = Prompt(
-    tokens=154_000, answer_tokens=800, target_ms=3_000, gap_ms=1_000
+SHORT = PromptRequirements(
+    tokens=5_000, answer_tokens=1_700, target_ms=300, target_gap_ms=250
+)
+BRIEF = PromptRequirements(
+    tokens=45_000, answer_tokens=1_000, target_ms=1_500, target_gap_ms=600
+)
+REVIEW = PromptRequirements(
+    tokens=154_000, answer_tokens=800, target_ms=3_000, target_gap_ms=1_000
 )
 
 
@@ -43,26 +47,28 @@
         ]
         self.placed = 0
 
-    def choose(self, prompt: Prompt):
+    def choose(self, prompt: PromptRequirements):
         now = asyncio.get_running_loop().time()
         pairs = [(e, self.load.by_endpoint[e.entry.id]) for e in self.engines]
-        copy = Prompt(**{k: getattr(prompt, k) for k in prompt.__slots__})
-        return choose_engines(MODEL, copy, pairs, now)
+        copy = PromptRequirements(
+            **{k: getattr(prompt, k) for k in prompt.__slots__}
+        )
+        return plan_prefill(MODEL, copy, pairs, now)
 
-    def place(self, prompt: Prompt, *, patient: bool = False):
+    def place(self, prompt: PromptRequirements, *, patient: bool = False):
         plan = self.choose(prompt)
-        if plan is None or (patient and plan.harm > 0):
+        if plan is None or (patient and plan.interference_cost > 0):
             return None  # it waits
         self.placed += 1
         item = WorkItem(
             id=self.placed,
-            endpoint=plan.writer.entry.id,
+            endpoint=plan.decode_engine.entry.id,
             helpers=[helper.entry.id for helper in plan.helpers],
             read_ms=plan.part_ms,
             memory_tokens=plan.memory_tokens,
             helper_memory_tokens=plan.memory_tokens,
             holders=plan.holders,
-            target_gap_ms=prompt.gap_ms,
+            target_gap_ms=prompt.target_gap_ms,
             due_ms=prompt.target_ms,
             remaining_ms=60_000,
         )
@@ -70,7 +76,9 @@
         return plan
 
     def writers(self) -> list[int]:
-        return [self.load.by_endpoint[e.entry.id].writers for e in self.engines]
+        return [
+            self.load.by_endpoint[e.entry.id].decode_count for e in self.engines
+        ]
 
 
 class PlacementTest(unittest.TestCase):
@@ -82,10 +90,13 @@
 
     @in_loop
     def test_long_prompt_is_read_jointly_within_its_target(self):
-        alone_ms = engine_speed.read_ms(MODEL, 300_000)
+        alone_ms = engine_latency.prefill_ms(MODEL, 300_000)
         self.assertGreater(alone_ms, 3_000)
-        prompt = Prompt(
-            tokens=300_000, answer_tokens=800, target_ms=3_000, gap_ms=1_000
+        prompt = PromptRequirements(
+            tokens=300_000,
+            answer_tokens=800,
+            target_ms=3_000,
+            target_gap_ms=1_000,
         )
         plan = Pool(21).choose(prompt)
         self.assertGreaterEqual(len(plan.helpers), 3)
@@ -93,8 +104,11 @@
 
     @in_loop
     def test_prompt_over_one_memory_has_holders(self):
-        prompt = Prompt(
-            tokens=700_000, answer_tokens=800, target_ms=3_000, gap_ms=1_000
+        prompt = PromptRequirements(
+            tokens=700_000,
+            answer_tokens=800,
+            target_ms=3_000,
+            target_gap_ms=1_000,
         )
         plan = Pool(21).choose(prompt)
         self.assertGreaterEqual(plan.holders, 2)
@@ -105,8 +119,11 @@
 
     @in_loop
     def test_prompt_over_the_memory_of_all_has_no_plan(self):
-        prompt = Prompt(
-            tokens=2_000_000, answer_tokens=1, target_ms=9_000, gap_ms=1_000
+        prompt = PromptRequirements(
+            tokens=2_000_000,
+            answer_tokens=1,
+            target_ms=9_000,
+            target_gap_ms=1_000,
         )
         self.assertIsNone(Pool(3).choose(prompt))
 
@@ -123,7 +140,9 @@
         pool = Pool(2)
         for _ in range(3):
             pool.load.by_endpoint["engine-0"].note_full()
-            self.assertEqual(pool.place(SHORT).writer.entry.id, "engine-1")
+            self.assertEqual(
+                pool.place(SHORT).decode_engine.entry.id, "engine-1"
+            )
 
     @in_loop
     def test_engine_with_unknown_work_counts_as_busy(self):
@@ -132,7 +151,9 @@
         report = EngineReport(endpoint="engine-0", unknown_requests=8)
         pool.load.by_endpoint["engine-0"].observe(report)
         for _ in range(8):
-            self.assertEqual(pool.place(SHORT).writer.entry.id, "engine-1")
+            self.assertEqual(
+                pool.place(SHORT).decode_engine.entry.id, "engine-1"
+            )
         self.assertIsNone(pool.place(SHORT))
 
     @in_loop
@@ -141,15 +162,17 @@
         report = EngineReport(endpoint="engine-0", slowdown=4.0)
         pool.load.by_endpoint["engine-0"].observe(report)
         for _ in range(6):
-            self.assertNotEqual(pool.place(SHORT).writer.entry.id, "engine-0")
+            self.assertNotEqual(
+                pool.place(SHORT).decode_engine.entry.id, "engine-0"
+            )
 
     @in_loop
     def test_short_prompt_avoids_an_engine_with_a_long_read(self):
         pool = Pool(2)
-        reading = pool.place(REVIEW).writer.entry.id
+        reading = pool.place(REVIEW).decode_engine.entry.id
         for _ in range(3):
             plan = pool.place(SHORT)
-            self.assertNotEqual(plan.writer.entry.id, reading)
+            self.assertNotEqual(plan.decode_engine.entry.id, reading)
 
     @in_loop
     def test_long_read_avoids_engines_that_write_short_answers(self):
@@ -164,7 +187,10 @@
             if writers
         }
         plan = pool.place(REVIEW)
-        used = {plan.writer.entry.id, *(h.entry.id for h in plan.helpers)}
+        used = {
+            plan.decode_engine.entry.id,
+            *(h.entry.id for h in plan.helpers),
+        }
         self.assertFalse(used & busy)
 
     def test_short_answers_are_packed_so_that_engines_stay_free(self):
@@ -228,14 +254,14 @@
     return in_time / shorts
 
 
-def _place_by_pending(pool: Pool, prompt: Prompt) -> float:
+def _place_by_pending(pool: Pool, prompt: PromptRequirements) -> float:
     def pending(engine: KnownEndpoint) -> int:
-        return len(pool.load.by_endpoint[engine.entry.id].shares)
+        return len(pool.load.by_endpoint[engine.entry.id].work_by_request)
 
     engine = min(pool.engines, key=pending)
     load = pool.load.by_endpoint[engine.entry.id]
-    read_ms = engine_speed.read_ms(MODEL, prompt.tokens)
-    pass_ms = engine_speed.pass_ms(MODEL, load.writers + 1)
+    read_ms = engine_latency.prefill_ms(MODEL, prompt.tokens)
+    pass_ms = engine_latency.pass_ms(MODEL, load.decode_count + 1)
     now = asyncio.get_running_loop().time()
     first_ms = load.backlog_ms(now) + read_ms + pass_ms
     pool.placed += 1
@@ -244,7 +270,7 @@
         endpoint=engine.entry.id,
         read_ms=read_ms,
         memory_tokens=prompt.tokens,
-        target_gap_ms=prompt.gap_ms,
+        target_gap_ms=prompt.target_gap_ms,
         remaining_ms=60_000,
     )
     pool.load.add("daemon", item)
