--- a/src/auburnswitch/entry/parts.py
+++ b/src/auburnswitch/entry/parts.py
@@ -128,7 +128,7 @@
             on_change=self._tell_change,
             group=self._group,
             cells=self.cells,
-            chance=chance,
+            rng=chance,
         )
         calls = EndpointCalls()
         self.memory = MemoryReservations(
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -178,8 +178,8 @@
     async def _place(
         self, request: RoutedRequest, excluded: set[str]
     ) -> HeldReservation | GroupReservation | Refusal:
-        if self.groups.groups.is_needed(request):
-            return await self.groups.groups.place(request, excluded)
+        if self.groups.group_placer.is_needed(request):
+            return await self.groups.group_placer.place(request, excluded)
         return await self.placer.place(request, excluded)
 
     def _attempt_on(
--- a/src/auburnswitch/routing/engine_candidate.py
+++ b/src/auburnswitch/routing/engine_candidate.py
@@ -67,7 +67,8 @@
         target_gaps_ms: Allowed pauses of the answers written there.
         pass_ms: Time of a pass with one more answer, without reading.
         slowdown: Time that its work takes, relative to the usual.
-        tight_gap_count: Answers with clearly shorter pauses than the prompt's own.
+        tight_gap_count: Answers with clearly shorter pauses than the prompt's
+            own.
     """
 
     __slots__ = (
--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -53,7 +53,8 @@
     """The work at one endpoint.
 
     Attributes:
-        work_by_request: Shares of requests, by daemon and number of the request.
+        work_by_request: Shares of requests, by daemon and number of the
+            request.
         prefill_ends_at: Loop time at which all reading is predicted to end.
         recent_end_times: Loop times at which the last requests ended.
     """
--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -32,7 +32,7 @@
     """Room on several endpoints for the segments of one prompt.
 
     Attributes:
-        parts: The reservations, in the order of the segments.
+        reservations: The reservations, in the order of the segments.
         segments: Text of each segment.
         active_index: Number of the part that is in use.
     """
@@ -107,7 +107,7 @@
                 ResultCode.QUEUE_FULL, ran=ran, retry_after_s=MAX_GROUP_WAIT_S
             )
             await asyncio.sleep(
-                MAX_GROUP_RETRY_DELAY_S * self.placer.random.random()
+                MAX_GROUP_RETRY_DELAY_S * self.placer.rng.random()
             )
         return last
 
--- a/tests/routing/test_joint_prefills.py
+++ b/tests/routing/test_joint_prefills.py
@@ -100,7 +100,7 @@
 class WaveTest(unittest.TestCase):
     def test_reads_that_hold_up_only_what_stays_in_time(self):
         times = run_virtual(wave)
-        with mock.patch.object(EndpointLoad, "joint_reads", lambda *_: {}):
+        with mock.patch.object(EndpointLoad, "joint_prefills", lambda *_: {}):
             shared = run_virtual(wave)
         self.assertEqual(_late(times), 0)
         self.assertGreater(_late(shared), 0)
