--- a/src/auburnswitch/callers/entry_app.py
+++ b/src/auburnswitch/callers/entry_app.py
@@ -9,9 +9,9 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.logs import log_event
 from auburnswitch.platform.requests import decode_request
-from auburnswitch.routing.crash_record import fingerprint_of
+from auburnswitch.routing.crash_registry import compute_fingerprint
 from auburnswitch.routing.delivery_job import DeliveryJob
-from auburnswitch.routing.outcomes import Delivered, Failed, RetryAdvice
+from auburnswitch.routing.outcomes import Delivered, DeliveryFailed, RetryAdvice
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     )
     from auburnswitch.observe.statistics import EntryStatistics
     from auburnswitch.platform.requests import CallerRequest, Headers
-    from auburnswitch.routing.delivery import Courier
+    from auburnswitch.routing.delivery import DeliveryRunner
     from auburnswitch.schema.installation import IngressLimits
 
 BAD_REQUEST: Final = 400
@@ -67,13 +67,13 @@
         self,
         *,
         installation: Installation,
-        courier: Courier,
+        delivery_runner: DeliveryRunner,
         chance: random.Random,
         statistics: EntryStatistics,
     ) -> None:
         self.statistics = statistics
         self.installation = installation
-        self.courier = courier
+        self.delivery_runner = delivery_runner
         self.chance = chance
         self.stopping = False
         self.refuses = False
@@ -171,13 +171,15 @@
             arrived_at=arrived_at,
             deadline_at=arrived_at + min(timeout_s, caller_s),
             caller_deadline_at=arrived_at + caller_s,
-            fingerprint=fingerprint_of(request, body),
+            fingerprint=compute_fingerprint(request, body),
         )
 
     async def _deliver(
         self, job: DeliveryJob, receive: Receive, writer: CallerWriter
     ) -> None:
-        delivery = asyncio.ensure_future(self.courier.deliver(job, writer))
+        delivery = asyncio.ensure_future(
+            self.delivery_runner.deliver(job, writer)
+        )
         gone = asyncio.ensure_future(_disconnected(receive))
         try:
             await asyncio.wait(
@@ -204,7 +206,7 @@
     async def _conclude(
         self,
         job: DeliveryJob,
-        outcome: Delivered | Failed,
+        outcome: Delivered | DeliveryFailed,
         writer: CallerWriter,
     ) -> None:
         match outcome:
@@ -212,13 +214,15 @@
                 result = f"delivered, {status}"
                 self._log(job.request, job.arrived_at, result, job)
                 return
-            case Failed(reason=reason):
+            case DeliveryFailed(reason=reason):
                 self._log(job.request, job.arrived_at, f"failed, {reason}", job)
         if writer.started:
             raise AnswerAborted(outcome.reason)
         await writer.refuse(self._failure(job, outcome))
 
-    def _failure(self, job: DeliveryJob, failed: Failed) -> RefusedError:
+    def _failure(
+        self, job: DeliveryJob, failed: DeliveryFailed
+    ) -> RefusedError:
         if not failed.may_have_run:
             return RefusedError(
                 UNAVAILABLE, failed.reason, self._retry_after_s(failed.retry)
--- a/src/auburnswitch/daemon/parts.py
+++ b/src/auburnswitch/daemon/parts.py
@@ -46,7 +46,7 @@
 from auburnswitch.operators.app import OperatorApp
 from auburnswitch.operators.keys import OperatorKeys
 from auburnswitch.results import Refusal, refusal
-from auburnswitch.routing.crashes import CrashJudge
+from auburnswitch.routing.crash_detector import CrashDetector
 from auburnswitch.routing.dispatcher import Dispatcher
 from auburnswitch.routing.group_run import GroupRunner
 from auburnswitch.routing.groups import GroupPlacer
@@ -54,7 +54,7 @@
 from auburnswitch.routing.plain import PlainRouter
 from auburnswitch.routing.policy import make_policy
 from auburnswitch.routing.retry_budget import RetryBudget
-from auburnswitch.routing.strikes import StrikeBook
+from auburnswitch.routing.strike_registry import StrikeRegistry
 from auburnswitch.routing.team_limits import TeamLimits
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.objects import Member
@@ -239,7 +239,7 @@
 
     def _build_routing(self, seed: int) -> None:
         client = self.endpoint_client
-        self.strikes = StrikeBook(
+        self.strikes = StrikeRegistry(
             retention_s=self.settings.routing.strike_retention_s
         )
         limits = TeamLimits(
@@ -265,7 +265,7 @@
             metrics=self.metrics,
             member_id=self.member.id,
             cleanups=self.cleanups,
-            crashes=CrashJudge(
+            crash_detector=CrashDetector(
                 strikes=self.strikes, client=client, membership=self.membership
             ),
             budget=RetryBudget(settings=self.settings.routing),
--- a/src/auburnswitch/entry/parts.py
+++ b/src/auburnswitch/entry/parts.py
@@ -20,15 +20,15 @@
 from auburnswitch.observe.statistics import EntryStatistics
 from auburnswitch.platform.endpoint_calls import EndpointCalls
 from auburnswitch.platform.store import PlatformStore
-from auburnswitch.routing.crash_record import CrashRecord
-from auburnswitch.routing.delivery import Courier
+from auburnswitch.routing.crash_registry import CrashRegistry
+from auburnswitch.routing.delivery import DeliveryRunner
 from auburnswitch.routing.endpoint_choice import EndpointChooser
 from auburnswitch.routing.endpoint_health import EndpointHealth
 from auburnswitch.routing.fleet_load import FleetLoad
 from auburnswitch.routing.joint_memory import JointMemory
 from auburnswitch.routing.load_observer import LoadObserver
-from auburnswitch.routing.send_rates import SendRates
-from auburnswitch.routing.window_budget import WindowBudget
+from auburnswitch.routing.send_rate_limiter import SendRateLimiter
+from auburnswitch.routing.windowed_retry_budget import WindowedRetryBudget
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.gossip import DaemonRecord
 
@@ -122,7 +122,7 @@
             installation=self.installation,
             load=self.load,
             health=EndpointHealth(),
-            rates=SendRates(
+            rates=SendRateLimiter(
                 bounds=settings.bounds, count_daemons=self._count_daemons
             ),
             on_change=self._tell_change,
@@ -134,15 +134,15 @@
         self.memory = JointMemory(
             calls=calls, prefix=f"{record.instance}-{self.gossip.incarnation}"
         )
-        self.crashes = CrashRecord()
+        self.crash_registry = CrashRegistry()
         self.statistics = EntryStatistics()
-        courier = Courier(
+        delivery_runner = DeliveryRunner(
             statistics=self.statistics,
-            crashes=self.crashes,
+            crash_registry=self.crash_registry,
             chooser=self.chooser,
             calls=calls,
             memory=self.memory,
-            budget=WindowBudget(
+            budget=WindowedRetryBudget(
                 bounds=settings.bounds, count_daemons=self._count_daemons
             ),
         )
@@ -158,7 +158,7 @@
         )
         self.app = EntryApp(
             installation=self.installation,
-            courier=courier,
+            delivery_runner=delivery_runner,
             chance=chance,
             statistics=self.statistics,
         )
@@ -276,7 +276,7 @@
         message.config_version = self.installation.config_version
         message.endpoints_revision = self.installation.endpoints_revision
         message.closed_zones_revision = self.installation.closed_zones_revision
-        message.crash_strikes = self.crashes.news()
+        message.crash_strikes = self.crash_registry.recent_local_crashes()
         read_at = self.follower.read_at
         if read_at is not None:
             message.store_read_age_ms = (monotonic_s() - read_at) * _MS_PER_S
@@ -319,8 +319,8 @@
         else:
             for item in message.items:
                 self.load.add(name, item)
-                self.chooser.rates.note_any(item.endpoint)
-        self.crashes.note_told(message.crash_strikes)
+                self.chooser.rates.record_fleet_send(item.endpoint)
+        self.crash_registry.merge_peer_crashes(message.crash_strikes)
         for report in message.reports:
             self.observer.note(report)
         for number in message.ended:
--- a/src/auburnswitch/experiments/entry_caller.py
+++ b/src/auburnswitch/experiments/entry_caller.py
@@ -11,7 +11,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments.caller import CallOutcome
-from auburnswitch.routing.event_relay import EventSplitter
+from auburnswitch.routing.sse_events import SseEventSplitter
 from auburnswitch.standins.callers import is_signed, request_headers
 from auburnswitch.standins.operators import HOST
 
@@ -81,7 +81,7 @@
 async def _read_events(
     response: aiohttp.ClientResponse, outcome: CallOutcome, started_at: float
 ) -> None:
-    splitter = EventSplitter()
+    splitter = SseEventSplitter()
     async for data in response.content.iter_any():
         events = splitter.feed(data)
         if events and outcome.first_token_s is None:
--- a/src/auburnswitch/routing/progress.py
+++ b/src/auburnswitch/routing/answer_progress.py
@@ -3,31 +3,31 @@
 from __future__ import annotations
 
 
-class Progress:
+class AnswerProgress:
     """Counts what the caller has of an answer over all attempts.
 
     Attributes:
         text: Pieces of text delivered.
-        tokens: Frames delivered in earlier attempts, one token each.
-        frames: Frames of the present attempt that were taken.
+        prior_tokens: Frames delivered in earlier attempts, one token each.
+        attempt_frames: Frames of the present attempt that were taken.
     """
 
-    __slots__ = ("frames", "text", "tokens")
+    __slots__ = ("attempt_frames", "prior_tokens", "text")
 
     def __init__(self) -> None:
         self.text: list[str] = []
-        self.tokens = 0
-        self.frames = 0
+        self.prior_tokens = 0
+        self.attempt_frames = 0
 
     @property
     def delivered_tokens(self) -> int:
         """Tokens delivered over all attempts."""
-        return self.tokens + self.frames
+        return self.prior_tokens + self.attempt_frames
 
     def start_attempt(self) -> None:
         """Begins to count the frames of a new attempt."""
-        self.tokens += self.frames
-        self.frames = 0
+        self.prior_tokens += self.attempt_frames
+        self.attempt_frames = 0
 
 
-__all__ = ["Progress"]
+__all__ = ["AnswerProgress"]
--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -23,14 +23,14 @@
 
     from auburnswitch.endpoints.client import Guard
     from auburnswitch.observe.metrics import Metrics
-    from auburnswitch.routing.progress import Progress
+    from auburnswitch.routing.answer_progress import AnswerProgress
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.schema.objects import Endpoint
 
 MAX_RESUMES: Final = 2
 RESUME_DELAY_S: Final = 0.1
-REST_TIMEOUT_S: Final = 0.2
-PREFILL_PATIENCE: Final = 4.0  # times the prefill of the prompt alone
+DRAIN_TIMEOUT_S: Final = 0.2
+PREFILL_TIMEOUT_FACTOR: Final = 4.0  # times the prefill of the prompt alone
 
 
 @dataclass(slots=True, kw_only=True)
@@ -77,7 +77,7 @@
         request: RoutedRequest,
         spec: Endpoint,
         attempt: Attempt,
-        progress: Progress,
+        progress: AnswerProgress,
         guard: Guard,
     ) -> None:
         self.guard = guard
@@ -116,7 +116,7 @@
             resumes += 1
             await asyncio.sleep(RESUME_DELAY_S)
             batches = self.client.resume(
-                self.spec, self.attempt, self.progress.frames
+                self.spec, self.attempt, self.progress.attempt_frames
             )
 
     def _start(self) -> AsyncIterator[list[Frame | ForeignFrame]]:
@@ -170,11 +170,11 @@
     def _silence_limit_s(self) -> float:
         """Returns the longest silence before the next frame, in seconds."""
         idle_s = self.client.settings.stream_idle_timeout_s
-        if self.progress.frames:
+        if self.progress.attempt_frames:
             return idle_s
         rate = max(1, self.spec.prefill_tokens_per_second)
         prefill_s = self.request.prompt_tokens / rate
-        return idle_s + PREFILL_PATIENCE * prefill_s
+        return idle_s + PREFILL_TIMEOUT_FACTOR * prefill_s
 
     def _accept(self, frame: Frame | ForeignFrame) -> bool:
         """Counts the next frame; tells whether it goes on with the answer.
@@ -182,10 +182,10 @@
         Raises:
             EndpointFailureError: A frame is missing before this one.
         """
-        expected = self.progress.frames
+        expected = self.progress.attempt_frames
         match frame:
             case Frame(sequence=sequence) if sequence == expected:
-                self.progress.frames += 1
+                self.progress.attempt_frames += 1
                 return True
             case Frame(sequence=sequence) if sequence > expected:
                 raise EndpointFailureError(
@@ -201,9 +201,9 @@
 
     def _end(self, frame: Frame) -> AnswerEnd:
         usage = dict(frame.usage or {})
-        if self.progress.tokens:  # the endpoint counted what came before
-            usage["prompt_tokens"] -= self.progress.tokens
-            usage["completion_tokens"] += self.progress.tokens
+        if self.progress.prior_tokens:  # the endpoint counted what came before
+            usage["prompt_tokens"] -= self.progress.prior_tokens
+            usage["completion_tokens"] += self.progress.prior_tokens
         return AnswerEnd(finish_reason=frame.finish_reason, usage=usage)
 
 
@@ -212,7 +212,7 @@
 ) -> None:
     """Reads the end of the response, so that its connection is kept."""
     with contextlib.suppress(EndpointFailureError, TimeoutError):
-        async with asyncio.timeout(REST_TIMEOUT_S):
+        async with asyncio.timeout(DRAIN_TIMEOUT_S):
             async for _ in batches:
                 pass
 
@@ -221,10 +221,12 @@
     return EndpointFailureError(reason, sent=True, lost=True)
 
 
-def _engine_body(request: RoutedRequest, progress: Progress) -> dict[str, Any]:
+def _engine_body(
+    request: RoutedRequest, progress: AnswerProgress
+) -> dict[str, Any]:
     body = dict(request.body)
     body["stream"] = True
-    body["max_tokens"] = request.answer_tokens - progress.tokens
+    body["max_tokens"] = request.answer_tokens - progress.prior_tokens
     body["priority"] = int(request.length_class)
     if progress.text:
         body["continue_text"] = "".join(progress.text)
--- a/src/auburnswitch/routing/attempt.py
+++ b/src/auburnswitch/routing/attempt.py
@@ -13,8 +13,8 @@
     NotSent,
 )
 from auburnswitch.platform.requests import encode_request_headers
+from auburnswitch.routing.attempt_timeouts import AttemptTimeouts
 from auburnswitch.routing.outcomes import AttemptFailed, Delivered
-from auburnswitch.routing.silence import SilenceWatchdog
 from auburnswitch.routing.stream_relay import StreamRelay
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 _HTTP_SERVER_ERROR: Final = 500
 
 
-class Attempt:
+class AttemptRunner:
     """Sends a request to the endpoints of one placement.
 
     Attributes:
@@ -80,12 +80,12 @@
             helpers=helpers,
             last_event_id=progress.last_event_id,
         )
-        waits = SilenceWatchdog(job=job, placement=placement)
+        timeouts = AttemptTimeouts(job=job, placement=placement)
         was_unsure = progress.may_have_run
         progress.may_have_run = True  # until it is known not to have run
         try:
             async with (
-                asyncio.timeout(waits.first_s()) as timer,
+                asyncio.timeout(timeouts.start_timeout_s()) as timer,
                 calls.send(
                     job.request,
                     endpoint=placement.endpoint.entry,
@@ -113,7 +113,9 @@
                         )
                     case Broken(reason=reason):
                         return AttemptFailed(
-                            reason=reason, may_have_run=True, cut=True
+                            reason=reason,
+                            may_have_run=True,
+                            connection_broken=True,
                         )
                 if job.is_stream and answer.success:
                     relay = StreamRelay(
@@ -124,7 +126,7 @@
                         writer=self.writer,
                         progress=progress,
                         timer=timer,
-                        waits=waits,
+                        timeouts=timeouts,
                     )
                     return await relay.run(answer)
                 return await self._relay_whole(answer)
@@ -138,7 +140,7 @@
         if isinstance(body, Broken):
             return AttemptFailed(reason=body.reason, may_have_run=True)
         failed = answer.status >= _HTTP_SERVER_ERROR
-        if self.writer.started or (failed and self.job.repeatable):
+        if self.writer.started or (failed and self.job.retryable):
             return AttemptFailed(
                 reason=f"status {answer.status}",
                 may_have_run=True,
@@ -151,4 +153,4 @@
         return Delivered(status=answer.status)
 
 
-__all__ = ["Attempt"]
+__all__ = ["AttemptRunner"]
--- a/src/auburnswitch/routing/silence.py
+++ b/src/auburnswitch/routing/attempt_timeouts.py
@@ -8,14 +8,18 @@
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_choice import Placement
 
-FIRST_EVENT_WAIT_S: Final = 1.0
-FIRST_EVENT_TARGETS: Final = 2.0  # target latencies until the first event
-FIRST_EVENT_PREDICTIONS: Final = 2.5
-GAP_TARGETS: Final = 4.0  # allowed pauses until an endpoint counts as silent
-IDEMPOTENT_WAIT_SHARE: Final = 0.35  # of the time left, for a first attempt
-
-
-class SilenceWatchdog:
+MIN_FIRST_EVENT_TIMEOUT_S: Final = 1.0
+FIRST_EVENT_TARGET_FACTOR: Final = 2.0  # target latencies until the first event
+FIRST_EVENT_PREDICTION_FACTOR: Final = 2.5
+GAP_TARGET_FACTOR: Final = (
+    4.0  # allowed pauses until an endpoint counts as silent
+)
+IDEMPOTENT_TIMEOUT_FRACTION: Final = (
+    0.35  # of the time left, for a first attempt
+)
+
+
+class AttemptTimeouts:
     """Tells how long an endpoint may be silent on one attempt.
 
     The last endpoint that a request may be sent to has no limit: its silence
@@ -34,26 +38,26 @@
 
     def _last_attempt(self) -> bool:
         job = self.job
-        return not job.repeatable or job.attempts + 1 >= job.route.max_attempts
+        return not job.retryable or job.attempts + 1 >= job.route.max_attempts
 
-    def first_s(self) -> float | None:
+    def start_timeout_s(self) -> float | None:
         """Returns the wait for the answer's start, None without a limit."""
         if self._last_attempt():
             return None
         if not self.job.is_stream:
-            return self.job.time_left_s() * IDEMPOTENT_WAIT_SHARE
+            return self.job.time_left_s() * IDEMPOTENT_TIMEOUT_FRACTION
         return max(
-            FIRST_EVENT_WAIT_S,
-            FIRST_EVENT_TARGETS * self.job.route.target_latency_s,
-            FIRST_EVENT_PREDICTIONS * self.placement.first_token_s,
+            MIN_FIRST_EVENT_TIMEOUT_S,
+            FIRST_EVENT_TARGET_FACTOR * self.job.route.target_latency_s,
+            FIRST_EVENT_PREDICTION_FACTOR * self.placement.first_token_s,
         )
 
-    def gap_s(self) -> float | None:
+    def gap_timeout_s(self) -> float | None:
         """Returns the wait for a further event, None without a limit."""
         gap_s = self.job.route.target_gap_s
         if self._last_attempt() or gap_s <= 0:
             return None
-        return GAP_TARGETS * gap_s
+        return GAP_TARGET_FACTOR * gap_s
 
 
-__all__ = ["SilenceWatchdog"]
+__all__ = ["AttemptTimeouts"]
--- a/src/auburnswitch/routing/ends.py
+++ b/src/auburnswitch/routing/completion_checks.py
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from auburnswitch.endpoints.owner import OwnerTable
     from auburnswitch.results import Refusal
+    from auburnswitch.routing.answer_progress import AnswerProgress
     from auburnswitch.routing.answer_stream import AnswerEnd
-    from auburnswitch.routing.progress import Progress
     from auburnswitch.routing.request import RoutedRequest
 
 DEADLINE_SLACK_S: Final = 1.0
 
 
-class EndChecks:
+class CompletionChecks:
     """What must hold when a request ends.
 
     Attributes:
@@ -30,7 +30,7 @@
     def __init__(self, *, owner_table: OwnerTable) -> None:
         self.owner_table = owner_table
 
-    def check_refused(self, request: RoutedRequest, refused: Refusal) -> None:
+    def check_refusal(self, request: RoutedRequest, refused: Refusal) -> None:
         """Checks that a refusal as not run is true."""
         self.owner_table.invariants.check(
             refused.ran != Ran.NO or not request.dispatched,
@@ -39,8 +39,8 @@
             code=int(refused.code),
         )
 
-    def check_whole(
-        self, request: RoutedRequest, progress: Progress, end: AnswerEnd
+    def check_token_count(
+        self, request: RoutedRequest, progress: AnswerProgress, end: AnswerEnd
     ) -> None:
         """Checks that every token of an answer was delivered, once."""
         counted = end.usage.get("completion_tokens", 0)
@@ -52,7 +52,7 @@
             delivered=progress.delivered_tokens,
         )
 
-    def check_runs(self, request: RoutedRequest) -> None:
+    def check_attempt_count(self, request: RoutedRequest) -> None:
         """Checks that a non-idempotent request was attempted once at most."""
         self.owner_table.invariants.check(
             request.idempotent or request.attempts <= 1,
@@ -61,7 +61,7 @@
             attempts=request.attempts,
         )
 
-    def check_time(self, request: RoutedRequest, resumed_at: float) -> None:
+    def check_deadline(self, request: RoutedRequest, resumed_at: float) -> None:
         """Checks that a request ends within its deadline.
 
         Args:
@@ -84,4 +84,4 @@
         )
 
 
-__all__ = ["EndChecks"]
+__all__ = ["CompletionChecks"]
--- a/src/auburnswitch/routing/crashes.py
+++ b/src/auburnswitch/routing/crash_detector.py
@@ -13,13 +13,13 @@
     from auburnswitch.endpoints.reservations import HeldReservation
     from auburnswitch.members.service import Membership
     from auburnswitch.routing.request import RoutedRequest
-    from auburnswitch.routing.strikes import StrikeBook
+    from auburnswitch.routing.strike_registry import StrikeRegistry
     from auburnswitch.schema.objects import Endpoint
 
-SPREAD_POLL_S: Final = 0.01
+ACK_POLL_INTERVAL_S: Final = 0.01
 
 
-class CrashJudge:
+class CrashDetector:
     """Gives strikes and tells the peers before the request goes on.
 
     Attributes:
@@ -33,7 +33,7 @@
     def __init__(
         self,
         *,
-        strikes: StrikeBook,
+        strikes: StrikeRegistry,
         client: EndpointClient,
         membership: Membership,
     ) -> None:
@@ -41,7 +41,7 @@
         self.client = client
         self.membership = membership
 
-    async def note_lost(
+    async def check_for_crash(
         self, request: RoutedRequest, held: HeldReservation, spec: Endpoint
     ) -> None:
         """Strikes a request that was in flight when its endpoint crashed.
@@ -74,7 +74,7 @@
                     for peer_id in view.live_ids()
                     if peer_id in view.peers
                 ):
-                    await asyncio.sleep(SPREAD_POLL_S)
+                    await asyncio.sleep(ACK_POLL_INTERVAL_S)
 
 
-__all__ = ["CrashJudge"]
+__all__ = ["CrashDetector"]
--- a/src/auburnswitch/routing/crash_record.py
+++ b/src/auburnswitch/routing/crash_registry.py
@@ -15,16 +15,16 @@
 
     from auburnswitch.platform.requests import CallerRequest
 
-CAREFUL_CRASHES: Final = 2  # from which a request is no longer repeated
-REFUSED_CRASHES: Final = 3  # from which it is refused
+CRASHES_TO_FORBID_RETRY: Final = 2  # from which a request is no longer repeated
+CRASHES_TO_REFUSE: Final = 3  # from which it is refused
 RETENTION_S: Final = 600.0
 MAX_FINGERPRINTS: Final = 5000
-SPREAD_S: Final = 1.5  # for which peers are told of a crash
-MAX_SPREAD: Final = 40  # crashes in one datagram
+ANNOUNCE_DURATION_S: Final = 1.5  # for which peers are told of a crash
+MAX_CRASHES_PER_DATAGRAM: Final = 40  # crashes in one datagram
 _SEPARATOR: Final = "/"
 
 
-class CrashRecord:
+class CrashRegistry:
     """Crashes by the fingerprints of the requests that were there.
 
     A crash is known by its endpoint, so that reports of several daemons about
@@ -37,7 +37,7 @@
         self._crashes: OrderedDict[str, dict[str, float]] = OrderedDict()
         self._news: dict[str, float] = {}
 
-    def note(self, fingerprint: str, endpoint: str) -> None:
+    def record_crash(self, fingerprint: str, endpoint: str) -> None:
         """Counts a crash that this daemon has seen."""
         if self._add(fingerprint, endpoint):
             name = f"{fingerprint}{_SEPARATOR}{endpoint}"
@@ -49,20 +49,22 @@
                 crashes=self.count(fingerprint),
             )
 
-    def note_told(self, names: Iterable[str]) -> None:
+    def merge_peer_crashes(self, names: Iterable[str]) -> None:
         """Counts crashes that a peer has seen."""
         for name in names:
             fingerprint, _, endpoint = name.partition(_SEPARATOR)
             if endpoint:
                 self._add(fingerprint, endpoint)
 
-    def news(self) -> list[str]:
+    def recent_local_crashes(self) -> list[str]:
         """Returns the crashes that peers are told of."""
         now = monotonic_s()
-        old = [n for n, at in self._news.items() if at < now - SPREAD_S]
+        old = [
+            n for n, at in self._news.items() if at < now - ANNOUNCE_DURATION_S
+        ]
         for name in old:
             del self._news[name]
-        return list(self._news)[:MAX_SPREAD]
+        return list(self._news)[:MAX_CRASHES_PER_DATAGRAM]
 
     def count(self, fingerprint: str) -> int:
         """Returns how often a request was at an endpoint that crashed."""
@@ -70,13 +72,13 @@
         crashes = self._crashes.get(fingerprint, {})
         return sum(at >= since for at in crashes.values())
 
-    def is_careful(self, fingerprint: str) -> bool:
+    def is_retry_forbidden(self, fingerprint: str) -> bool:
         """Whether a request may be sent to one endpoint only."""
-        return self.count(fingerprint) >= CAREFUL_CRASHES
+        return self.count(fingerprint) >= CRASHES_TO_FORBID_RETRY
 
     def is_refused(self, fingerprint: str) -> bool:
         """Whether a request may not be sent to any endpoint."""
-        return self.count(fingerprint) >= REFUSED_CRASHES
+        return self.count(fingerprint) >= CRASHES_TO_REFUSE
 
     def _add(self, fingerprint: str, endpoint: str) -> bool:
         crashes = self._crashes.setdefault(fingerprint, {})
@@ -89,7 +91,7 @@
         return True
 
 
-def fingerprint_of(request: CallerRequest, body: bytes) -> str:
+def compute_fingerprint(request: CallerRequest, body: bytes) -> str:
     """Returns what recognises a request that comes again."""
     digest = hashlib.blake2b(digest_size=12)
     for part in (request.target, request.caller_key):
@@ -98,4 +100,4 @@
     return digest.hexdigest()
 
 
-__all__ = ["CrashRecord", "fingerprint_of"]
+__all__ = ["CrashRegistry", "compute_fingerprint"]
--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -7,14 +7,17 @@
 
 from auburnswitch.observe.logs import log_event
 from auburnswitch.platform.endpoint_calls import AnswerHead
-from auburnswitch.routing.attempt import Attempt
-from auburnswitch.routing.endpoint_health import HARD_FAILURE, SOFT_FAILURE
+from auburnswitch.routing.attempt import AttemptRunner
+from auburnswitch.routing.endpoint_health import (
+    HARD_FAILURE_WEIGHT,
+    SOFT_FAILURE_WEIGHT,
+)
 from auburnswitch.routing.joint_memory import MemoryRefused
 from auburnswitch.routing.outcomes import (
     AttemptFailed,
     Delivered,
+    DeliveryFailed,
     DeliveryProgress,
-    Failed,
     RetryAdvice,
 )
 from auburnswitch.routing.placement_wait import wait_for_placement
@@ -23,25 +26,25 @@
 if TYPE_CHECKING:
     from auburnswitch.observe.statistics import EntryStatistics
     from auburnswitch.platform.endpoint_calls import EndpointCalls
-    from auburnswitch.routing.crash_record import CrashRecord
+    from auburnswitch.routing.crash_registry import CrashRegistry
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
     from auburnswitch.routing.joint_memory import JointMemory
     from auburnswitch.routing.outcomes import AnswerWriter
-    from auburnswitch.routing.window_budget import WindowBudget
+    from auburnswitch.routing.windowed_retry_budget import WindowedRetryBudget
 
-RETRY_MIN_S: Final = 0.03
-SEND_MIN_S: Final = 0.02
+MIN_RETRY_TIME_LEFT_S: Final = 0.03
+MIN_SEND_TIME_LEFT_S: Final = 0.02
 
 
-class Courier:
+class DeliveryRunner:
     """Sends requests to endpoints and relays their answers."""
 
     __slots__ = (
         "budget",
         "calls",
         "chooser",
-        "crashes",
+        "crash_registry",
         "memory",
         "statistics",
     )
@@ -51,13 +54,13 @@
         *,
         chooser: EndpointChooser,
         calls: EndpointCalls,
-        budget: WindowBudget,
+        budget: WindowedRetryBudget,
         memory: JointMemory,
-        crashes: CrashRecord,
+        crash_registry: CrashRegistry,
         statistics: EntryStatistics,
     ) -> None:
         self.statistics = statistics
-        self.crashes = crashes
+        self.crash_registry = crash_registry
         self.memory = memory
         self.chooser = chooser
         self.calls = calls
@@ -65,11 +68,11 @@
 
     async def deliver(
         self, job: DeliveryJob, writer: AnswerWriter
-    ) -> Delivered | Failed:
+    ) -> Delivered | DeliveryFailed:
         """Delivers a request, within its deadline."""
         self.budget.note_request(job.service.name)
-        if self.crashes.is_refused(job.fingerprint):
-            return Failed(
+        if self.crash_registry.is_refused(job.fingerprint):
+            return DeliveryFailed(
                 reason="crashes endpoints",
                 may_have_run=False,
                 retry=RetryAdvice.NEVER,
@@ -79,17 +82,19 @@
             async with asyncio.timeout_at(job.deadline_at):
                 return await self._attempts(job, writer, progress)
         except TimeoutError:
-            return Failed(reason="deadline", may_have_run=progress.may_have_run)
+            return DeliveryFailed(
+                reason="deadline", may_have_run=progress.may_have_run
+            )
 
     async def _attempts(
         self, job: DeliveryJob, writer: AnswerWriter, progress: DeliveryProgress
-    ) -> Delivered | Failed:
+    ) -> Delivered | DeliveryFailed:
         last: AttemptFailed | None = None
         while True:
             if last is not None and not self._may_retry(job, last):
                 return await self._give_up(last, writer, progress)
             placement = await wait_for_placement(self.chooser, job)
-            if job.time_left_s() < SEND_MIN_S:
+            if job.time_left_s() < MIN_SEND_TIME_LEFT_S:
                 placement = None  # also after this process stood still
             if placement is None:
                 if last is not None:
@@ -114,34 +119,34 @@
                 attempts=job.attempts,
             )
 
-    def _no_room(self, job: DeliveryJob) -> Failed:
+    def _no_room(self, job: DeliveryJob) -> DeliveryFailed:
         if self.chooser.could_serve(job):
-            return Failed(reason="no room", may_have_run=False)
-        return Failed(
+            return DeliveryFailed(reason="no room", may_have_run=False)
+        return DeliveryFailed(
             reason="too few endpoints in service",
             may_have_run=False,
             retry=RetryAdvice.LATER,
         )
 
     def _may_retry(self, job: DeliveryJob, last: AttemptFailed) -> bool:
-        if last.may_have_run and not job.repeatable:
+        if last.may_have_run and not job.retryable:
             return False
-        if self.crashes.is_careful(job.fingerprint):
+        if self.crash_registry.is_retry_forbidden(job.fingerprint):
             return False
         if job.attempts >= job.route.max_attempts:
             return False
-        if job.time_left_s() < RETRY_MIN_S:
+        if job.time_left_s() < MIN_RETRY_TIME_LEFT_S:
             return False
-        return not last.sent or self.budget.take(job.service.name)
+        return not last.sent or self.budget.try_acquire(job.service.name)
 
     async def _give_up(
         self,
         last: AttemptFailed,
         writer: AnswerWriter,
         progress: DeliveryProgress,
-    ) -> Delivered | Failed:
+    ) -> Delivered | DeliveryFailed:
         if last.head is None or writer.started:
-            return Failed(
+            return DeliveryFailed(
                 reason=last.reason, may_have_run=progress.may_have_run
             )
         await writer.start(last.head.status, last.head.headers)
@@ -169,7 +174,7 @@
                         may_have_run=False,
                         sent=False,
                     )
-                attempt = Attempt(
+                attempt = AttemptRunner(
                     chooser=self.chooser,
                     statistics=self.statistics,
                     job=job,
@@ -180,8 +185,8 @@
                 outcome = await attempt.run(helpers, self.calls)
         finally:
             self.chooser.end(placement)
-        if isinstance(outcome, AttemptFailed) and outcome.cut:
-            self.crashes.note(job.fingerprint, endpoint.id)
+        if isinstance(outcome, AttemptFailed) and outcome.connection_broken:
+            self.crash_registry.record_crash(job.fingerprint, endpoint.id)
         self._note_health(endpoint.id, outcome, job)
         return outcome
 
@@ -197,19 +202,21 @@
                 other != endpoint
             ):
                 job.excluded.add(other)
-                health.note_failure(other, reason, HARD_FAILURE)
+                health.note_failure(other, reason, HARD_FAILURE_WEIGHT)
             case Delivered():
                 health.note_success(endpoint)
             case AttemptFailed(sent=True, may_have_run=False, reason=reason):
                 self.chooser.load.by_endpoint[endpoint].note_full()
-                health.note_failure(endpoint, reason, SOFT_FAILURE)
+                health.note_failure(endpoint, reason, SOFT_FAILURE_WEIGHT)
             case AttemptFailed(head=AnswerHead()):
-                health.note_failure(endpoint, outcome.reason, SOFT_FAILURE)
+                health.note_failure(
+                    endpoint, outcome.reason, SOFT_FAILURE_WEIGHT
+                )
             case (
                 AttemptFailed(sent=True, reason=reason)
                 | AttemptFailed(failed_to_connect=True, reason=reason)
             ):
-                health.note_failure(endpoint, reason, HARD_FAILURE)
+                health.note_failure(endpoint, reason, HARD_FAILURE_WEIGHT)
 
 
-__all__ = ["Courier"]
+__all__ = ["DeliveryRunner"]
--- a/src/auburnswitch/routing/delivery_job.py
+++ b/src/auburnswitch/routing/delivery_job.py
@@ -44,7 +44,7 @@
     excluded: set[str] = field(default_factory=set)
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether it may run more than once."""
         match self.route.kind:
             case RequestKind.IDEMPOTENT:
@@ -62,7 +62,7 @@
         """Returns the time until it must be answered, in seconds."""
         return self.deadline_at - monotonic_s()
 
-    def target_left_s(self) -> float:
+    def target_time_left_s(self) -> float:
         """Returns the time left in which an answer is worth most."""
         passed_s = monotonic_s() - self.arrived_at
         return self.route.target_latency_s - passed_s
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -15,14 +15,14 @@
 )
 from auburnswitch.observe.logs import log_event
 from auburnswitch.results import Refusal, refusal
+from auburnswitch.routing.answer_progress import AnswerProgress
 from auburnswitch.routing.answer_stream import (
     AnswerEnd,
     AnswerStream,
     AnswerText,
 )
-from auburnswitch.routing.ends import EndChecks
+from auburnswitch.routing.completion_checks import CompletionChecks
 from auburnswitch.routing.groups import GroupReservation
-from auburnswitch.routing.progress import Progress
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.results import Ran, ResultCode
 
@@ -32,7 +32,7 @@
     from auburnswitch.endpoints.reservations import HeldReservation
     from auburnswitch.observe.metrics import Metrics
     from auburnswitch.observe.tasks import TaskSet
-    from auburnswitch.routing.crashes import CrashJudge
+    from auburnswitch.routing.crash_detector import CrashDetector
     from auburnswitch.routing.group_run import GroupRunner
     from auburnswitch.routing.placement import Placer
     from auburnswitch.routing.request import RoutedRequest
@@ -40,8 +40,10 @@
     from auburnswitch.routing.team_limits import TeamLimits
 
 
-GONE_STATUS: Final = 404  # the endpoint does not know the stream any more
-SPENT_RETRY_S: Final = 5.0
+UNKNOWN_STREAM_STATUS: Final = (
+    404  # the endpoint does not know the stream any more
+)
+BUDGET_SPENT_RETRY_AFTER_S: Final = 5.0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -62,19 +64,19 @@
         client: Calls endpoints.
         metrics: The daemon's instruments.
         cleanups: Cancellations and releases that go on after an attempt.
-        crashes: Finds out whether a lost endpoint has crashed.
+        crash_detector: Finds out whether a lost endpoint has crashed.
         budget: Retries that may still be made.
         limits: Admits requests within their teams' limits.
         groups: Runs prompts that are larger than one endpoint.
-        ends: What must hold when a request ends.
+        completion_checks: What must hold when a request ends.
     """
 
     __slots__ = (
         "budget",
         "cleanups",
         "client",
-        "crashes",
-        "ends",
+        "completion_checks",
+        "crash_detector",
         "groups",
         "limits",
         "member_id",
@@ -90,7 +92,7 @@
         metrics: Metrics,
         member_id: str,
         cleanups: TaskSet,
-        crashes: CrashJudge,
+        crash_detector: CrashDetector,
         budget: RetryBudget,
         limits: TeamLimits,
         groups: GroupRunner,
@@ -100,11 +102,13 @@
         self.metrics = metrics
         self.member_id = member_id
         self.cleanups = cleanups
-        self.crashes = crashes
+        self.crash_detector = crash_detector
         self.budget = budget
         self.limits = limits
         self.groups = groups
-        self.ends = EndChecks(owner_table=placer.owner_table)
+        self.completion_checks = CompletionChecks(
+            owner_table=placer.owner_table
+        )
 
     async def run(self, request: RoutedRequest) -> AsyncIterator[AnswerPart]:
         """Yields the parts of the answer; the last one is its end."""
@@ -122,7 +126,7 @@
             self.limits.finish(request)
 
     async def _run(self, request: RoutedRequest) -> AsyncIterator[AnswerPart]:
-        progress = Progress()
+        progress = AnswerProgress()
         excluded: set[str] = set()
         last_error = ""
         self.budget.note_admitted()
@@ -143,7 +147,9 @@
                 async with contextlib.aclosing(attempt) as parts:
                     async for part in parts:
                         if isinstance(part, AnswerEnd):
-                            self.ends.check_whole(request, progress, part)
+                            self.completion_checks.check_token_count(
+                                request, progress, part
+                            )
                         yield part
                 self.placer.strikes.clear(request.fingerprint)
                 return
@@ -153,13 +159,15 @@
             except EndpointFailureError as error:
                 last_error = str(error)
                 excluded.add(placed.endpoint)
-                sent = error.sent or progress.frames > 0
+                sent = error.sent or progress.attempt_frames > 0
                 request.dispatched = dispatched_before or sent
-                if sent and (error.lost or error.status == GONE_STATUS):
+                if sent and (
+                    error.lost or error.status == UNKNOWN_STREAM_STATUS
+                ):
                     await self._note_lost(request, placed)
                 if progress.text and not request.allow_continuation:
                     break
-                if sent and not self.budget.take():
+                if sent and not self.budget.try_acquire():
                     yield AnswerFailed(refusal=_spent(progress))
                     return
                 self._note_retry(request, placed, last_error)
@@ -170,10 +178,10 @@
     ) -> None:
         match part:
             case AnswerFailed(refusal=refused):
-                self.ends.check_refused(request, refused)
-                self.ends.check_time(request, resumed_at)
+                self.completion_checks.check_refusal(request, refused)
+                self.completion_checks.check_deadline(request, resumed_at)
             case AnswerEnd():
-                self.ends.check_time(request, resumed_at)
+                self.completion_checks.check_deadline(request, resumed_at)
 
     async def _place(
         self, request: RoutedRequest, excluded: set[str]
@@ -186,7 +194,7 @@
         self,
         request: RoutedRequest,
         placed: HeldReservation | GroupReservation,
-        progress: Progress,
+        progress: AnswerProgress,
     ) -> AsyncIterator[AnswerPart]:
         match placed:
             case GroupReservation():
@@ -201,13 +209,13 @@
     ) -> None:
         spec = self.placer.owner_table.state.endpoints.get(held.endpoint)
         if spec is not None and held.boot_id:
-            await self.crashes.note_lost(request, held, spec)
+            await self.crash_detector.check_for_crash(request, held, spec)
 
     async def _attempt(
         self,
         request: RoutedRequest,
         held: HeldReservation,
-        progress: Progress,
+        progress: AnswerProgress,
     ) -> AsyncIterator[AnswerPart]:
         """Runs one attempt and gives its reservation back.
 
@@ -304,28 +312,32 @@
         )
 
 
-def _deadline(request: RoutedRequest, progress: Progress) -> Refusal:
+def _deadline(request: RoutedRequest, progress: AnswerProgress) -> Refusal:
     ran = Ran.NO
     if request.dispatched:
         ran = Ran.YES if progress.text else Ran.UNKNOWN
     return refusal(ResultCode.DEADLINE_EXCEEDED, ran=ran)
 
 
-def _failed(request: RoutedRequest, progress: Progress, reason: str) -> Refusal:
+def _failed(
+    request: RoutedRequest, progress: AnswerProgress, reason: str
+) -> Refusal:
     if progress.text:
         return refusal(ResultCode.STREAM_BROKEN, reason)
     ran = Ran.UNKNOWN if request.dispatched else Ran.NO
     return refusal(ResultCode.ENDPOINT_FAILED, reason, ran=ran, retry_after_s=1)
 
 
-def _spent(progress: Progress) -> Refusal:
+def _spent(progress: AnswerProgress) -> Refusal:
     ran = Ran.YES if progress.text else Ran.UNKNOWN
     return refusal(
-        ResultCode.RETRY_BUDGET_SPENT, ran=ran, retry_after_s=SPENT_RETRY_S
+        ResultCode.RETRY_BUDGET_SPENT,
+        ran=ran,
+        retry_after_s=BUDGET_SPENT_RETRY_AFTER_S,
     )
 
 
-def _after_attempts(refused: Refusal, progress: Progress) -> Refusal:
+def _after_attempts(refused: Refusal, progress: AnswerProgress) -> Refusal:
     if progress.text:
         refused.ran = Ran.YES
     return refused
--- a/src/auburnswitch/routing/endpoint_choice.py
+++ b/src/auburnswitch/routing/endpoint_choice.py
@@ -32,7 +32,7 @@
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_health import EndpointHealth
     from auburnswitch.routing.fleet_load import FleetLoad
-    from auburnswitch.routing.send_rates import SendRates
+    from auburnswitch.routing.send_rate_limiter import SendRateLimiter
     from auburnswitch.schema.installation import EngineModel
 
 PLAIN_WORK_MS: Final = 300.0  # until a plain request is expected to end
@@ -102,7 +102,7 @@
         installation: Installation,
         load: FleetLoad,
         health: EndpointHealth,
-        rates: SendRates,
+        rates: SendRateLimiter,
         on_change: Callable[[list[WorkItem], list[int]], None],
         group: Callable[[], str],
         cells: Cells,
@@ -195,7 +195,7 @@
             part_ms=round(placement.item.read_ms, 1),
             predicted_ms=round(placement.first_token_s * _MS_PER_S, 1),
         )
-        self.rates.note(placement.endpoint.entry.id)
+        self.rates.record_send(placement.endpoint.entry.id)
         self.load.add(self.instance, placement.item)
         self.on_change([placement.item], [])
 
@@ -242,7 +242,7 @@
         prompt = Prompt(
             tokens=job.request.prompt_tokens,
             answer_tokens=job.request.answer_tokens,
-            target_ms=max(0.0, job.target_left_s()) * _MS_PER_S,
+            target_ms=max(0.0, job.target_time_left_s()) * _MS_PER_S,
             gap_ms=job.route.target_gap_s * _MS_PER_S,
         )
         loads = [(k, self.load.by_endpoint[k.entry.id]) for k in shuffled]
--- a/src/auburnswitch/routing/endpoint_health.py
+++ b/src/auburnswitch/routing/endpoint_health.py
@@ -11,8 +11,8 @@
 
 SUSPECT_SCORE: Final = 1.5
 SUCCESS_FACTOR: Final = 0.6
-HARD_FAILURE: Final = 1.0  # no or a broken answer
-SOFT_FAILURE: Final = 0.5  # an error that the endpoint answered
+HARD_FAILURE_WEIGHT: Final = 1.0  # no or a broken answer
+SOFT_FAILURE_WEIGHT: Final = 0.5  # an error that the endpoint answered
 HALF_LIFE_S: Final = 2.0
 
 
@@ -43,7 +43,7 @@
         self.scores: defaultdict[str, _Score] = defaultdict(_Score)
 
     def note_failure(
-        self, endpoint: str, reason: str, weight: float = HARD_FAILURE
+        self, endpoint: str, reason: str, weight: float = HARD_FAILURE_WEIGHT
     ) -> None:
         """Counts a failure."""
         score = self.scores[endpoint]
@@ -67,4 +67,4 @@
         return self.scores[endpoint].decay() >= SUSPECT_SCORE
 
 
-__all__ = ["HARD_FAILURE", "SOFT_FAILURE", "EndpointHealth"]
+__all__ = ["HARD_FAILURE_WEIGHT", "SOFT_FAILURE_WEIGHT", "EndpointHealth"]
--- a/src/auburnswitch/routing/group_run.py
+++ b/src/auburnswitch/routing/group_run.py
@@ -10,7 +10,7 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import Attempt, EndpointFailureError
 from auburnswitch.routing.answer_stream import (
-    PREFILL_PATIENCE,
+    PREFILL_TIMEOUT_FACTOR,
     AnswerEnd,
     AnswerStream,
     AnswerText,
@@ -23,8 +23,8 @@
     from auburnswitch.endpoints.reservations import HeldReservation
     from auburnswitch.observe.metrics import Metrics
     from auburnswitch.observe.tasks import TaskSet
+    from auburnswitch.routing.answer_progress import AnswerProgress
     from auburnswitch.routing.groups import GroupPlacer, GroupReservation
-    from auburnswitch.routing.progress import Progress
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.schema.objects import Endpoint
 
@@ -60,7 +60,7 @@
         self,
         request: RoutedRequest,
         group: GroupReservation,
-        progress: Progress,
+        progress: AnswerProgress,
     ) -> AsyncIterator[AnswerText | AnswerEnd]:
         """Runs one attempt and frees every part of it.
 
@@ -118,7 +118,7 @@
     ) -> str:
         patience_s = self.client.settings.stream_idle_timeout_s
         rate = max(1, spec.prefill_tokens_per_second)
-        patience_s += PREFILL_PATIENCE * held.work.prefill_tokens / rate
+        patience_s += PREFILL_TIMEOUT_FACTOR * held.work.prefill_tokens / rate
         until = min(request.deadline_at, monotonic_s() + patience_s)
         guard = self.groups.placer.reservations.guard(held, attempt)
         try:
@@ -159,7 +159,7 @@
         request: RoutedRequest,
         group: GroupReservation,
         attempt: Attempt,
-        progress: Progress,
+        progress: AnswerProgress,
         chain: list[dict[str, str]],
     ) -> AnswerStream:
         held = group.parts[-1]
--- a/src/auburnswitch/routing/outcomes.py
+++ b/src/auburnswitch/routing/outcomes.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Failed:
+class DeliveryFailed:
     """No endpoint's answer could be delivered.
 
     Attributes:
@@ -72,7 +72,8 @@
         reason: Why, for the log.
         may_have_run: The endpoint may have run the request.
         sent: It counts as an endpoint that the request was sent to.
-        cut: The connection broke while the endpoint had the request.
+        connection_broken: The connection broke while the endpoint had the
+            request.
         failed_to_connect: No connection to the endpoint could be opened.
         failed_endpoint: Endpoint at fault, if the one that was asked says so.
         head: Whole answer that is delivered if there is no other attempt.
@@ -82,7 +83,7 @@
     reason: str
     may_have_run: bool
     sent: bool = True
-    cut: bool = False
+    connection_broken: bool = False
     failed_to_connect: bool = False
     failed_endpoint: str | None = None
     head: AnswerHead | None = None
@@ -93,7 +94,7 @@
         """One of a few causes, for statistics."""
         if self.head is not None:
             return "error"
-        if self.cut:
+        if self.connection_broken:
             return "cut"
         if self.may_have_run:
             return "silent or wrong"
@@ -120,6 +121,6 @@
     "AttemptFailed",
     "Delivered",
     "DeliveryProgress",
-    "Failed",
+    "DeliveryFailed",
     "RetryAdvice",
 ]
--- a/src/auburnswitch/routing/placement.py
+++ b/src/auburnswitch/routing/placement.py
@@ -17,9 +17,9 @@
 )
 from auburnswitch.results import Refusal, refusal
 from auburnswitch.routing.policy import (
-    OwnerReservations,
+    OwnerReservationPolicy,
     PlacementPolicy,
-    TwoChoices,
+    PowerOfTwoChoicesPolicy,
 )
 from auburnswitch.schema.peers import (
     EndpointHint,
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from auburnswitch.endpoints.owner import OwnerTable
     from auburnswitch.routing.request import RoutedRequest
-    from auburnswitch.routing.strikes import StrikeBook
+    from auburnswitch.routing.strike_registry import StrikeRegistry
 
 ROUND_DELAY_S: Final = 0.05
 OWNER_WAIT_S: Final = 1.0
@@ -74,7 +74,7 @@
         owner_table: OwnerTable,
         reservations: ReservationClient,
         policy: PlacementPolicy,
-        strikes: StrikeBook,
+        strikes: StrikeRegistry,
         seed: int,
     ) -> None:
         self.owner_table = owner_table
@@ -96,20 +96,20 @@
             The reservation, or why there is none.
         """
         match self.policy:
-            case TwoChoices(choices=choices):
-                return self._choose(request, excluded, choices)
-            case OwnerReservations():
+            case PowerOfTwoChoicesPolicy(sample_size=sample_size):
+                return self._choose(request, excluded, sample_size)
+            case OwnerReservationPolicy():
                 return await self._ask_owners(request, excluded)
 
     def _choose(
-        self, request: RoutedRequest, excluded: set[str], choices: int
+        self, request: RoutedRequest, excluded: set[str], sample_size: int
     ) -> HeldReservation | Refusal:
         names = self._candidates(request, excluded)
         if not names:
             return refusal(
                 ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
             )
-        sample = self.random.sample(names, min(choices, len(names)))
+        sample = self.random.sample(names, min(sample_size, len(names)))
         best = min(sample, key=self._reported_tokens)
         work = unreserved_work(best, request)
         return self.reservations.hold_unasked(work, request.deadline_at)
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -58,7 +58,7 @@
         return False
     if placement.late:
         return True
-    slack_s = job.target_left_s() * PATIENT_SHARE - placement.first_token_s
+    slack_s = job.target_time_left_s() * PATIENT_SHARE - placement.first_token_s
     return placement.harmful and slack_s > 0
 
 
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -21,7 +21,7 @@
 from auburnswitch.http_client import send_once
 from auburnswitch.observe.invariants import Invariant, Invariants
 from auburnswitch.results import Refusal, refusal
-from auburnswitch.routing.ends import EndChecks
+from auburnswitch.routing.completion_checks import CompletionChecks
 from auburnswitch.schema.objects import Claim, ClaimState
 from auburnswitch.schema.results import Ran, ResultCode
 
@@ -32,9 +32,9 @@
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.routing.team_limits import TeamLimits
 
-PASSED_HEADERS: Final = ("content-type", "location", "etag", "cache-control")
-IN_PROGRESS_RETRY_S: Final = 1.0
-STORE_RETRY_S: Final = 2.0
+FORWARDED_HEADERS: Final = ("content-type", "location", "etag", "cache-control")
+IN_PROGRESS_RETRY_AFTER_S: Final = 1.0
+STORE_RETRY_AFTER_S: Final = 2.0
 MAX_UNSENT_ATTEMPTS: Final = 3
 _DIGEST_BYTES: Final = 16
 
@@ -68,7 +68,7 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-class TooLateError(Exception):
+class DispatchTooLateError(Exception):
     """A request was not sent, because its time to be sent was over."""
 
 
@@ -86,7 +86,7 @@
     __slots__ = (
         "claims",
         "client",
-        "ends",
+        "completion_checks",
         "invariants",
         "limits",
         "member_id",
@@ -109,7 +109,9 @@
         self.member_id = member_id
         self.invariants = invariants
         self.limits = limits
-        self.ends = EndChecks(owner_table=placer.owner_table)
+        self.completion_checks = CompletionChecks(
+            owner_table=placer.owner_table
+        )
 
     async def run(
         self, request: RoutedRequest, call: PlainCall
@@ -123,9 +125,9 @@
         finally:
             self.limits.finish(request)
         if isinstance(outcome, Refusal):
-            self.ends.check_refused(request, outcome)
-        self.ends.check_runs(request)
-        self.ends.check_time(request, started_at)
+            self.completion_checks.check_refusal(request, outcome)
+        self.completion_checks.check_attempt_count(request)
+        self.completion_checks.check_deadline(request, started_at)
         return outcome
 
     async def _run(
@@ -146,7 +148,7 @@
                 return refusal(
                     ResultCode.STORE_UNAVAILABLE,
                     f"the request was not run: {reason}",
-                    retry_after_s=STORE_RETRY_S,
+                    retry_after_s=STORE_RETRY_AFTER_S,
                 )
 
     async def _run_claimed(
@@ -194,7 +196,7 @@
                     except EndpointFailureError as error:
                         reason = str(error)
                         excluded.add(placed.endpoint)
-                    except TooLateError:
+                    except DispatchTooLateError:
                         reason = "it was too late to send the request"
                     unsent += 1
                     if not request.dispatched:
@@ -231,7 +233,7 @@
 
         def guard() -> None:
             if monotonic_s() > send_before:
-                raise TooLateError
+                raise DispatchTooLateError
             begin()
             self._note_dispatch(request)
 
@@ -250,7 +252,7 @@
             succeeded = response.status < 500
             kept = {
                 name: response.headers[name]
-                for name in PASSED_HEADERS
+                for name in FORWARDED_HEADERS
                 if name in response.headers
             }
             return PlainAnswer(status=response.status, body=body, headers=kept)
@@ -282,7 +284,7 @@
             return _recorded_outcome(claim)
         if self.claims.in_progress(claim):
             return refusal(
-                ResultCode.IN_PROGRESS, retry_after_s=IN_PROGRESS_RETRY_S
+                ResultCode.IN_PROGRESS, retry_after_s=IN_PROGRESS_RETRY_AFTER_S
             )
         return refusal(ResultCode.OUTCOME_UNKNOWN)
 
@@ -315,5 +317,5 @@
     "PlainAnswer",
     "PlainCall",
     "PlainRouter",
-    "TooLateError",
+    "DispatchTooLateError",
 ]
--- a/src/auburnswitch/routing/policy.py
+++ b/src/auburnswitch/routing/policy.py
@@ -12,36 +12,36 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class OwnerReservations:
+class OwnerReservationPolicy:
     """Asks the owners of endpoints for room, the most promising first."""
 
 
 @dataclass(slots=True, kw_only=True)
-class TwoChoices:
+class PowerOfTwoChoicesPolicy:
     """Takes the better of some random endpoints by their load reports.
 
     It asks no owner, so no bound on an endpoint's work holds.
 
     Attributes:
-        choices: Endpoints that are compared.
+        sample_size: Endpoints that are compared.
     """
 
-    choices: int = 2
+    sample_size: int = 2
 
 
-PlacementPolicy = OwnerReservations | TwoChoices
+PlacementPolicy = OwnerReservationPolicy | PowerOfTwoChoicesPolicy
 
 
 def make_policy(settings: RoutingSettings) -> PlacementPolicy:
     """Returns the policy that the settings name."""
     if settings.policy == TWO_CHOICES:
-        return TwoChoices()
-    return OwnerReservations()
+        return PowerOfTwoChoicesPolicy()
+    return OwnerReservationPolicy()
 
 
 __all__ = [
-    "OwnerReservations",
+    "OwnerReservationPolicy",
     "PlacementPolicy",
-    "TwoChoices",
+    "PowerOfTwoChoicesPolicy",
     "make_policy",
 ]
--- a/src/auburnswitch/routing/retry_budget.py
+++ b/src/auburnswitch/routing/retry_budget.py
@@ -10,7 +10,7 @@
     from auburnswitch.schema.settings import RoutingSettings
 
 FLOOR_REFILL_S: Final = 60.0
-SAVED_REQUESTS: Final = 1000  # whose shares may be saved up
+MAX_SAVED_REQUESTS: Final = 1000  # whose shares may be saved up
 
 
 class RetryBudget:
@@ -34,7 +34,7 @@
         """Adds the share of one request."""
         self._add(self.settings.retry_budget_share)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one retry; returns whether there was one."""
         now = monotonic_s()
         passed = (now - self.filled_at) / FLOOR_REFILL_S
@@ -50,7 +50,7 @@
 
     def _add(self, retries: float) -> None:
         settings = self.settings
-        saved = SAVED_REQUESTS * settings.retry_budget_share
+        saved = MAX_SAVED_REQUESTS * settings.retry_budget_share
         most = settings.retry_budget_floor + saved
         self.retries = min(most, self.retries + retries)
 
--- a/src/auburnswitch/routing/send_rates.py
+++ b/src/auburnswitch/routing/send_rate_limiter.py
@@ -14,11 +14,15 @@
     from auburnswitch.schema.installation import Service
 
 WINDOW_S: Final = 1.1  # a second, and how much later one request may arrive
-KNOWN_SHARE: Final = 0.6  # of the fleet's rate, as news of others is late
-SPARE_DAEMONS: Final = 3  # that may be started before this one knows of them
+FLEET_RATE_FRACTION: Final = (
+    0.6  # of the fleet's rate, as news of others is late
+)
+UNSEEN_DAEMON_ALLOWANCE: Final = (
+    3  # that may be started before this one knows of them
+)
 
 
-class SendRates:
+class SendRateLimiter:
     """Keeps endpoints that may be cold under the rate they tolerate.
 
     An endpoint may turn cold without a sign, so the limit holds for all
@@ -49,19 +53,19 @@
             service.cold_requests_per_s * self.bounds.cold_ratio
             + self.bounds.cold_extra
         )
-        daemons = self.count_daemons() + SPARE_DAEMONS
+        daemons = self.count_daemons() + UNSEEN_DAEMON_ALLOWANCE
         own = _count(self._sent[endpoint])
         by_all = _count(self._by_all[endpoint])
         return own + 1 <= max(1, int(fleet / daemons)) and (
-            by_all + 1 <= fleet * KNOWN_SHARE
+            by_all + 1 <= fleet * FLEET_RATE_FRACTION
         )
 
-    def note(self, endpoint: str) -> None:
+    def record_send(self, endpoint: str) -> None:
         """Counts a request that this daemon sends."""
         self._sent[endpoint].append(monotonic_s())
-        self.note_any(endpoint)
+        self.record_fleet_send(endpoint)
 
-    def note_any(self, endpoint: str) -> None:
+    def record_fleet_send(self, endpoint: str) -> None:
         """Counts a request that some daemon sends."""
         self._by_all[endpoint].append(monotonic_s())
 
@@ -73,4 +77,4 @@
     return len(times)
 
 
-__all__ = ["SendRates"]
+__all__ = ["SendRateLimiter"]
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -7,8 +7,12 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.logs import log_event
 from auburnswitch.platform.endpoint_calls import Broken
-from auburnswitch.routing.event_relay import EventSplitter, event_id, is_newer
 from auburnswitch.routing.outcomes import AttemptFailed, Delivered
+from auburnswitch.routing.sse_events import (
+    SseEventSplitter,
+    is_newer_event,
+    parse_event_id,
+)
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
@@ -16,10 +20,10 @@
 
     from auburnswitch.observe.statistics import EntryStatistics
     from auburnswitch.platform.endpoint_calls import AnswerHead
+    from auburnswitch.routing.attempt_timeouts import AttemptTimeouts
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
     from auburnswitch.routing.outcomes import AnswerWriter, DeliveryProgress
-    from auburnswitch.routing.silence import SilenceWatchdog
 
 
 class StreamRelay:
@@ -33,7 +37,7 @@
         writer: Writes to the caller.
         progress: What the caller has so far.
         timer: Ends the attempt when the endpoint is silent.
-        waits: How long it may be silent.
+        timeouts: How long it may be silent.
         splitter: Holds the part of an event that has come.
     """
 
@@ -44,8 +48,8 @@
         "progress",
         "splitter",
         "statistics",
+        "timeouts",
         "timer",
-        "waits",
         "writer",
     )
 
@@ -59,7 +63,7 @@
         writer: AnswerWriter,
         progress: DeliveryProgress,
         timer: asyncio.Timeout,
-        waits: SilenceWatchdog,
+        timeouts: AttemptTimeouts,
     ) -> None:
         self.chooser = chooser
         self.statistics = statistics
@@ -68,8 +72,8 @@
         self.writer = writer
         self.progress = progress
         self.timer = timer
-        self.waits = waits
-        self.splitter = EventSplitter()
+        self.timeouts = timeouts
+        self.splitter = SseEventSplitter()
 
     async def run(self, answer: AnswerHead) -> Delivered | AttemptFailed:
         """Relays until the stream ends or breaks."""
@@ -77,7 +81,9 @@
             data = await answer.read_chunk()
             if isinstance(data, Broken):
                 return AttemptFailed(
-                    reason=data.reason, may_have_run=True, cut=True
+                    reason=data.reason,
+                    may_have_run=True,
+                    connection_broken=True,
                 )
             if not data:
                 break
@@ -85,24 +91,24 @@
             if events:
                 await self._pass_on(answer, events)
         await self._start(answer)
-        if self.splitter.rest:
-            await self.writer.write(self.splitter.rest)
+        if self.splitter.buffer:
+            await self.writer.write(self.splitter.buffer)
         await self.writer.finish()
         return Delivered(status=answer.status)
 
     async def _pass_on(self, answer: AnswerHead, events: list[bytes]) -> None:
-        gap_s = self.waits.gap_s()
+        gap_s = self.timeouts.gap_timeout_s()
         when = None if gap_s is None else monotonic_s() + gap_s
         self.timer.reschedule(when)
         if not self.placement.item.writing:
             self._note_read()
         last_id = self.progress.last_event_id
-        new = [event for event in events if is_newer(event, last_id)]
+        new = [event for event in events if is_newer_event(event, last_id)]
         if not new:
             return
         await self._start(answer)
         await self.writer.write(b"".join(new))
-        self.progress.last_event_id = event_id(new[-1]) or last_id
+        self.progress.last_event_id = parse_event_id(new[-1]) or last_id
 
     def _note_read(self) -> None:
         self.chooser.note_read(self.placement)
--- a/src/auburnswitch/routing/strikes.py
+++ b/src/auburnswitch/routing/strike_registry.py
@@ -12,16 +12,18 @@
 if TYPE_CHECKING:
     from auburnswitch.schema.peers import Heartbeat
 
-MAX_STRIKES: Final = 2
+STRIKES_TO_REFUSE: Final = 2
 MAX_FINGERPRINTS: Final = 10_000
-MAX_SPREAD: Final = 200  # strikes in one heartbeat
-SPREAD_S: Final = 3.0  # time for which a peer is told again
+MAX_STRIKES_PER_HEARTBEAT: Final = 200  # strikes in one heartbeat
+ANNOUNCE_DURATION_S: Final = 3.0  # time for which a peer is told again
 
-Crash = tuple[str, str]  # endpoint and its start
-Notice = tuple[str, Crash, bool]  # fingerprint, crash, whether it is cleared
+CrashId = tuple[str, str]  # endpoint and its start
+StrikeNotice = tuple[
+    str, CrashId, bool
+]  # fingerprint, crash, whether it is cleared
 
 
-class StrikeBook:
+class StrikeRegistry:
     """The strikes of each request by its fingerprint.
 
     One crash gives one strike, whoever reports it. A request that has run to
@@ -34,17 +36,17 @@
         struck_at: Loop time of each strike in seconds, by crash, by
             fingerprint.
         cleared: Crashes that no longer count, by fingerprint.
-        told: Loop time at which each peer was first told of each strike, in
-            seconds.
+        announced_at: Loop time at which each peer was first told of each
+            strike, in seconds.
     """
 
-    __slots__ = ("cleared", "retention_s", "struck_at", "told")
+    __slots__ = ("announced_at", "cleared", "retention_s", "struck_at")
 
     def __init__(self, *, retention_s: float) -> None:
         self.retention_s = retention_s
-        self.struck_at: dict[str, dict[Crash, float]] = {}
-        self.cleared: dict[str, set[Crash]] = {}
-        self.told: dict[str, dict[Notice, float]] = {}
+        self.struck_at: dict[str, dict[CrashId, float]] = {}
+        self.cleared: dict[str, set[CrashId]] = {}
+        self.announced_at: dict[str, dict[StrikeNotice, float]] = {}
 
     def add(
         self, fingerprint: str, endpoint: str, boot_id: str, age_s: float = 0.0
@@ -95,12 +97,12 @@
 
     def is_refused(self, fingerprint: str) -> bool:
         """Tells whether a request must not run again."""
-        return self.count(fingerprint) >= MAX_STRIKES
+        return self.count(fingerprint) >= STRIKES_TO_REFUSE
 
     def fill_heartbeat(self, heartbeat: Heartbeat, peer_id: str) -> None:
         """Adds the strikes that a peer has not been told of for long."""
         now = monotonic_s()
-        told = self.told.setdefault(peer_id, {})
+        told = self.announced_at.setdefault(peer_id, {})
         for fingerprint in list(self.struck_at):
             self._expire(fingerprint)
         known = {
@@ -111,9 +113,9 @@
         for key in told.keys() - known:
             del told[key]
         for key in sorted(known):
-            if len(heartbeat.strikes) >= MAX_SPREAD:
+            if len(heartbeat.strikes) >= MAX_STRIKES_PER_HEARTBEAT:
                 return
-            if now - told.setdefault(key, now) <= SPREAD_S:
+            if now - told.setdefault(key, now) <= ANNOUNCE_DURATION_S:
                 heartbeat.strikes.append(self._strike(*key))
 
     def note_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -130,7 +132,9 @@
             if strike.cleared and crash in known:
                 self.cleared.setdefault(strike.fingerprint, set()).add(crash)
 
-    def _strike(self, fingerprint: str, crash: Crash, cleared: bool) -> Strike:
+    def _strike(
+        self, fingerprint: str, crash: CrashId, cleared: bool
+    ) -> Strike:
         endpoint, boot_id = crash
         return Strike(
             fingerprint=fingerprint,
@@ -141,4 +145,4 @@
         )
 
 
-__all__ = ["MAX_STRIKES", "StrikeBook"]
+__all__ = ["STRIKES_TO_REFUSE", "StrikeRegistry"]
--- a/src/auburnswitch/routing/team_limits.py
+++ b/src/auburnswitch/routing/team_limits.py
@@ -17,8 +17,8 @@
     from auburnswitch.schema.objects import Team
     from auburnswitch.schema.peers import Heartbeat
 
-IN_FLIGHT_RETRY_S: Final = 1.0
-LONGEST_RETRY_S: Final = 3600.0
+TEAM_LIMIT_RETRY_AFTER_S: Final = 1.0
+MAX_RETRY_AFTER_S: Final = 3600.0
 
 
 class TeamMeter:
@@ -29,7 +29,7 @@
     and may become negative, so that what was admitted too much is repaid.
 
     Attributes:
-        level: Tokens that may be used now.
+        available_tokens: Tokens that may be used now.
         filled_at: Loop time up to which the level has been filled, in seconds.
         in_flight: Requests of the team that run through this daemon.
         admitted: Tokens that this daemon has ever admitted.
@@ -37,25 +37,26 @@
         interval: Number of the heartbeat interval of the counts below.
         interval_tokens: Tokens admitted in the interval.
         interval_requests: Requests admitted in the interval.
-        interval_level: Level at the begin of the interval.
-        interval_room: Requests in flight short of the limit at its begin.
+        interval_start_tokens: Level at the begin of the interval.
+        interval_start_headroom: Requests in flight short of the limit at its
+            begin.
     """
 
     __slots__ = (
         "admitted",
+        "available_tokens",
         "filled_at",
         "in_flight",
         "interval",
-        "interval_level",
         "interval_requests",
-        "interval_room",
+        "interval_start_headroom",
+        "interval_start_tokens",
         "interval_tokens",
-        "level",
         "peers",
     )
 
     def __init__(self, *, spec: Team) -> None:
-        self.level = burst_tokens(spec)
+        self.available_tokens = bucket_capacity(spec)
         self.filled_at = monotonic_s()
         self.in_flight = 0
         self.admitted = 0
@@ -63,14 +64,17 @@
         self.interval = -1
         self.interval_tokens = 0
         self.interval_requests = 0
-        self.interval_level = 0.0
-        self.interval_room = 0
+        self.interval_start_tokens = 0.0
+        self.interval_start_headroom = 0
 
-    def begin(self, spec: Team, interval: int, live: set[str]) -> None:
+    def start_interval(self, spec: Team, interval: int, live: set[str]) -> None:
         """Fills the bucket and begins a new interval if it is time."""
         now = monotonic_s()
-        filled = self.level + (now - self.filled_at) * spec.tokens_per_second
-        self.level = min(burst_tokens(spec), filled)
+        filled = (
+            self.available_tokens
+            + (now - self.filled_at) * spec.tokens_per_second
+        )
+        self.available_tokens = min(bucket_capacity(spec), filled)
         self.filled_at = now
         for peer_id in self.peers.keys() - live:
             del self.peers[peer_id]
@@ -78,17 +82,19 @@
             self.interval = interval
             self.interval_tokens = 0
             self.interval_requests = 0
-            self.interval_level = self.level
-            self.interval_room = spec.max_in_flight - self.total_in_flight
+            self.interval_start_tokens = self.available_tokens
+            self.interval_start_headroom = (
+                spec.max_in_flight - self.total_in_flight
+            )
 
     @property
     def total_in_flight(self) -> int:
         """Requests of the team that run through all daemons."""
         return self.in_flight + sum(self.peers.values())
 
-    def add(self, tokens: int) -> None:
+    def record_admission(self, tokens: int) -> None:
         """Counts an admitted request."""
-        self.level -= tokens
+        self.available_tokens -= tokens
         self.admitted += tokens
         self.in_flight += 1
         self.interval_tokens += tokens
@@ -105,12 +111,19 @@
 
     Attributes:
         meters: Usage by team.
-        told: Tokens of each team that each peer knows of, with the loop time
-            of the last heartbeat in seconds.
+        reported_usage: Tokens of each team that each peer knows of, with the
+            loop time of the last heartbeat in seconds.
         heard_at: Loop time of each peer's last heartbeat, in seconds.
     """
 
-    __slots__ = ("heard_at", "interval_s", "meters", "state", "told", "view")
+    __slots__ = (
+        "heard_at",
+        "interval_s",
+        "meters",
+        "reported_usage",
+        "state",
+        "view",
+    )
 
     def __init__(
         self, *, state: ConfigState, view: MemberView, interval_s: float
@@ -119,7 +132,7 @@
         self.view = view
         self.interval_s = interval_s
         self.meters: dict[str, TeamMeter] = {}
-        self.told: dict[str, tuple[float, dict[str, int]]] = {}
+        self.reported_usage: dict[str, tuple[float, dict[str, int]]] = {}
         self.heard_at: dict[str, float] = {}
 
     def admit(self, request: RoutedRequest) -> Refusal | None:
@@ -129,11 +142,11 @@
             return refusal(ResultCode.BAD_CALLER_KEY)
         meter = self._meter(request.team, spec)
         live = set(self.view.live_ids())
-        meter.begin(spec, int(monotonic_s() // self.interval_s), live)
+        meter.start_interval(spec, int(monotonic_s() // self.interval_s), live)
         tokens = request.prompt_tokens + request.answer_tokens
         if refused := _refuse(spec, meter, tokens, len(live)):
             return refused
-        meter.add(tokens)
+        meter.record_admission(tokens)
         return None
 
     def finish(self, request: RoutedRequest) -> None:
@@ -145,7 +158,7 @@
     def fill_heartbeat(self, heartbeat: Heartbeat, peer_id: str) -> None:
         """Adds what the teams have used since the last heartbeat."""
         now = monotonic_s()
-        told_at, told = self.told.get(peer_id, (now, {}))
+        told_at, told = self.reported_usage.get(peer_id, (now, {}))
         passed_s = max(1e-3, now - told_at)
         for team, meter in self.meters.items():
             tokens = meter.admitted - told.get(team, 0)
@@ -159,9 +172,11 @@
                     )
                 )
         admitted = {name: m.admitted for name, m in self.meters.items()}
-        self.told[peer_id] = (now, admitted)
-        for gone in self.told.keys() - self.view.peers.keys() - {peer_id}:
-            del self.told[gone]
+        self.reported_usage[peer_id] = (now, admitted)
+        for gone in (
+            self.reported_usage.keys() - self.view.peers.keys() - {peer_id}
+        ):
+            del self.reported_usage[gone]
 
     def note_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Takes what a peer's teams have used."""
@@ -174,7 +189,7 @@
                 continue
             meter = self._meter(usage.team, spec)
             meter.peers[peer_id] = usage.in_flight
-            meter.level -= usage.tokens
+            meter.available_tokens -= usage.tokens
 
     def _meter(self, team: str, spec: Team) -> TeamMeter:
         meter = self.meters.get(team)
@@ -183,7 +198,7 @@
         return meter
 
 
-def burst_tokens(spec: Team) -> float:
+def bucket_capacity(spec: Team) -> float:
     """Returns the size of a team's bucket: its burst, or one second."""
     return max(spec.burst_tokens, spec.tokens_per_second)
 
@@ -192,18 +207,18 @@
     spec: Team, meter: TeamMeter, tokens: int, daemons: int
 ) -> Refusal | None:
     if spec.max_in_flight:
-        share = max(1, math.ceil(meter.interval_room / daemons))
+        share = max(1, math.ceil(meter.interval_start_headroom / daemons))
         full = meter.total_in_flight >= spec.max_in_flight
         if full or meter.interval_requests >= share:
-            return _refusal(IN_FLIGHT_RETRY_S)
+            return _refusal(TEAM_LIMIT_RETRY_AFTER_S)
     if spec.tokens_per_second:
-        needed = min(float(tokens), burst_tokens(spec))
-        if meter.level < needed:
-            wait_s = (needed - meter.level) / spec.tokens_per_second
-            return _refusal(min(LONGEST_RETRY_S, wait_s))
+        needed = min(float(tokens), bucket_capacity(spec))
+        if meter.available_tokens < needed:
+            wait_s = (needed - meter.available_tokens) / spec.tokens_per_second
+            return _refusal(min(MAX_RETRY_AFTER_S, wait_s))
         used = meter.interval_tokens
-        if used and used + tokens > meter.interval_level / daemons:
-            return _refusal(IN_FLIGHT_RETRY_S)
+        if used and used + tokens > meter.interval_start_tokens / daemons:
+            return _refusal(TEAM_LIMIT_RETRY_AFTER_S)
     return None
 
 
@@ -211,4 +226,4 @@
     return refusal(ResultCode.TEAM_LIMIT, retry_after_s=retry_after_s)
 
 
-__all__ = ["TeamLimits", "TeamMeter", "burst_tokens"]
+__all__ = ["TeamLimits", "TeamMeter", "bucket_capacity"]
--- a/src/auburnswitch/routing/window_budget.py
+++ b/src/auburnswitch/routing/windowed_retry_budget.py
@@ -12,7 +12,7 @@
 
     from auburnswitch.schema.entry import BoundSettings
 
-SAFE_SHARE: Final = 0.7  # of the fleet's retries, as windows differ
+SAFETY_FACTOR: Final = 0.7  # of the fleet's retries, as windows differ
 
 
 class _Window:
@@ -31,7 +31,7 @@
                 times.popleft()
 
 
-class WindowBudget:
+class WindowedRetryBudget:
     """Gives out this daemon's part of the fleet's retries.
 
     The extra retries are shared out by the daemons that are known, whether
@@ -56,12 +56,12 @@
         """Counts a request of a caller."""
         self._window(service).requests.append(monotonic_s())
 
-    def take(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Takes one retry, False if none is left."""
         window = self._window(service)
         extra = self.bounds.retry_extra / max(1, self.count_daemons())
         ratio = self.bounds.retry_ratio * len(window.requests)
-        if len(window.retries) + 1 > SAFE_SHARE * (ratio + extra):
+        if len(window.retries) + 1 > SAFETY_FACTOR * (ratio + extra):
             return False
         window.retries.append(monotonic_s())
         return True
@@ -72,4 +72,4 @@
         return window
 
 
-__all__ = ["WindowBudget"]
+__all__ = ["WindowedRetryBudget"]
--- a/tests/routing/test_answer_stream.py
+++ b/tests/routing/test_answer_stream.py
@@ -16,8 +16,8 @@
 )
 from auburnswitch.http_server import open_http_server
 from auburnswitch.observe.metrics import Metrics
+from auburnswitch.routing.answer_progress import AnswerProgress
 from auburnswitch.routing.answer_stream import AnswerEnd, AnswerStream
-from auburnswitch.routing.progress import Progress
 from auburnswitch.routing.request import RoutedRequest
 from auburnswitch.schema.objects import Endpoint
 from auburnswitch.schema.peers import LengthClass
@@ -67,7 +67,7 @@
             ),
             spec=Endpoint(host="127.0.0.1", port=server.port),
             attempt=Attempt(request_id="r1", number=2, member_id="m"),
-            progress=Progress(),
+            progress=AnswerProgress(),
             guard=lambda: None,
         )
         parts = [part async for part in stream.parts()]
--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -11,8 +11,8 @@
 from collections import deque
 from unittest import mock
 
-from auburnswitch.routing import send_rates as module
-from auburnswitch.routing.send_rates import SendRates
+from auburnswitch.routing import send_rate_limiter as module
+from auburnswitch.routing.send_rate_limiter import SendRateLimiter
 from auburnswitch.schema.entry import BoundSettings
 from auburnswitch.schema.installation import Service
 from tests.model_search import BrokenRuleError, search
@@ -54,7 +54,7 @@
     def allows(self, ages: tuple[int, ...]) -> bool:
         """Asks the real code about one more request."""
         bounds = BoundSettings(cold_ratio=1.0, cold_extra=0)
-        rates = SendRates(bounds=bounds, count_daemons=lambda: self.known)
+        rates = SendRateLimiter(bounds=bounds, count_daemons=lambda: self.known)
         times = [NOW_S - age * self.tick_s for age in sorted(ages)[::-1]]
         rates._sent[ENDPOINT] = deque(times)
         with (
--- a/tests/routing/test_ends.py
+++ b/tests/routing/test_completion_checks.py
@@ -8,9 +8,9 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.invariants import Invariant
 from auburnswitch.results import refusal
+from auburnswitch.routing.answer_progress import AnswerProgress
 from auburnswitch.routing.answer_stream import AnswerEnd
-from auburnswitch.routing.ends import EndChecks
-from auburnswitch.routing.progress import Progress
+from auburnswitch.routing.completion_checks import CompletionChecks
 from auburnswitch.routing.request import RoutedRequest
 from auburnswitch.schema.peers import LengthClass
 from auburnswitch.schema.results import ResultCode
@@ -41,7 +41,7 @@
         async def scenario():
             table = open_table()
             table.invariants.strict = False
-            await check(EndChecks(owner_table=table))
+            await check(CompletionChecks(owner_table=table))
             return set(table.invariants.violations)
 
         return run_virtual(scenario)
@@ -55,7 +55,7 @@
             async def check(ends, dispatched=dispatched):
                 refused = refusal(ResultCode.QUEUE_FULL)
                 request = routed(dispatched=dispatched)
-                ends.check_refused(request, refused)
+                ends.check_refusal(request, refused)
 
             self.assertEqual(self.violated(check), expected)
 
@@ -63,18 +63,18 @@
         for counted, expected in ((3, {Invariant.WHOLE_ANSWER}), (2, set())):
 
             async def check(ends, counted=counted):
-                progress = Progress()
-                progress.frames = 2
+                progress = AnswerProgress()
+                progress.attempt_frames = 2
                 end = AnswerEnd(
                     finish_reason="stop", usage={"completion_tokens": counted}
                 )
-                ends.check_whole(routed(), progress, end)
+                ends.check_token_count(routed(), progress, end)
 
             self.assertEqual(self.violated(check), expected)
 
     def test_at_most_once(self):
         async def check(ends):
-            ends.check_runs(routed(idempotent=False, attempts=2))
+            ends.check_attempt_count(routed(idempotent=False, attempts=2))
 
         self.assertEqual(self.violated(check), {Invariant.AT_MOST_ONCE})
 
@@ -90,6 +90,6 @@
                 view = ends.owner_table.view
                 if not paused:
                     view.ticked_at = monotonic_s()
-                ends.check_time(routed(), slow)
+                ends.check_deadline(routed(), slow)
 
             self.assertEqual(self.violated(check), expected)
--- a/tests/routing/test_crashes.py
+++ b/tests/routing/test_crash_detector.py
@@ -14,7 +14,7 @@
 )
 from auburnswitch.experiments.placement import warm_up
 from auburnswitch.routing.retry_budget import RetryBudget
-from auburnswitch.routing.strikes import StrikeBook
+from auburnswitch.routing.strike_registry import StrikeRegistry
 from auburnswitch.schema.peers import Heartbeat
 from auburnswitch.schema.settings import RoutingSettings
 from auburnswitch.standins.engine_job import CRASH_MARKER
@@ -131,7 +131,7 @@
 class StrikeBookTest(unittest.TestCase):
     def test_one_crash_gives_one_strike_and_strikes_expire(self):
         async def scenario():
-            book = StrikeBook(retention_s=10)
+            book = StrikeRegistry(retention_s=10)
             added = [book.add("f", "e", "boot-1") for _ in range(2)]
             await asyncio.sleep(6)
             book.add("f", "e", "boot-2")
@@ -146,7 +146,7 @@
 
     def test_age_travels_with_a_strike(self):
         async def scenario():
-            mine, other = (StrikeBook(retention_s=10) for _ in range(2))
+            mine, other = (StrikeRegistry(retention_s=10) for _ in range(2))
             mine.add("f", "e", "boot-1")
             await asyncio.sleep(8)
             heartbeat = Heartbeat()
@@ -160,7 +160,7 @@
 
     def test_a_request_that_ran_to_its_end_is_cleared_everywhere(self):
         async def scenario():
-            first, second = (StrikeBook(retention_s=60) for _ in range(2))
+            first, second = (StrikeRegistry(retention_s=60) for _ in range(2))
             first.add("f", "engine-0", "boot-1")
             for cleared in (False, True):
                 if cleared:
@@ -184,11 +184,11 @@
     def test_floor_and_share(self):
         async def scenario():
             budget = RetryBudget(settings=RoutingSettings())
-            floor = sum(budget.take() for _ in range(100))
+            floor = sum(budget.try_acquire() for _ in range(100))
             for _ in range(55):
                 budget.note_admitted()
-            share = sum(budget.take() for _ in range(100))
+            share = sum(budget.try_acquire() for _ in range(100))
             await asyncio.sleep(30)
-            return floor, share, sum(budget.take() for _ in range(100))
+            return floor, share, sum(budget.try_acquire() for _ in range(100))
 
         self.assertEqual(run_virtual(scenario), (10, 5, 5))
--- a/tests/routing/test_limits_of_entry.py
+++ b/tests/routing/test_limits_of_entry.py
@@ -6,8 +6,8 @@
 import unittest
 
 from auburnswitch.routing.endpoint_health import EndpointHealth
-from auburnswitch.routing.send_rates import SendRates
-from auburnswitch.routing.window_budget import WindowBudget
+from auburnswitch.routing.send_rate_limiter import SendRateLimiter
+from auburnswitch.routing.windowed_retry_budget import WindowedRetryBudget
 from auburnswitch.schema.entry import BoundSettings
 from auburnswitch.schema.installation import Service
 from tests.virtual_time import run_virtual
@@ -28,7 +28,7 @@
 
         async def run():
             budgets = [
-                WindowBudget(bounds=BOUNDS, count_daemons=lambda: 9)
+                WindowedRetryBudget(bounds=BOUNDS, count_daemons=lambda: 9)
                 for _ in range(9)
             ]
             requests = retries = 0
@@ -36,7 +36,7 @@
                 for _ in range(40):
                     budget.note_request("engines")
                     requests += 1
-                while budget.take("engines"):
+                while budget.try_acquire("engines"):
                     retries += 1
             allowed = BOUNDS.retry_ratio * requests + BOUNDS.retry_extra
             self.assertLessEqual(retries, allowed)
@@ -46,13 +46,13 @@
 
     def test_window_slides(self):
         async def run():
-            budget = WindowBudget(bounds=BOUNDS, count_daemons=lambda: 9)
-            while budget.take("engines"):
+            budget = WindowedRetryBudget(bounds=BOUNDS, count_daemons=lambda: 9)
+            while budget.try_acquire("engines"):
                 pass
             await asyncio.sleep(9)
-            self.assertFalse(budget.take("engines"))
+            self.assertFalse(budget.try_acquire("engines"))
             await asyncio.sleep(1.1)
-            self.assertTrue(budget.take("engines"))
+            self.assertTrue(budget.try_acquire("engines"))
 
         run_virtual(run)
 
@@ -66,13 +66,13 @@
 
         async def run():
             fleet = [
-                SendRates(bounds=BOUNDS, count_daemons=lambda: 9)
+                SendRateLimiter(bounds=BOUNDS, count_daemons=lambda: 9)
                 for _ in range(12)
             ]
             sent = 0
             for rates in fleet:
                 while rates.allows(COLD, "engine"):
-                    rates.note("engine")
+                    rates.record_send("engine")
                     sent += 1
             self.assertLessEqual(sent, 26 * 1.5 + 5)
 
@@ -80,9 +80,9 @@
 
     def test_daemons_that_hear_of_each_other(self):
         async def run():
-            rates = SendRates(bounds=BOUNDS, count_daemons=lambda: 90)
+            rates = SendRateLimiter(bounds=BOUNDS, count_daemons=lambda: 90)
             for _ in range(27):
-                rates.note_any("engine")
+                rates.record_fleet_send("engine")
             self.assertFalse(rates.allows(COLD, "engine"))
             self.assertTrue(rates.allows(COLD, "another"))
             await asyncio.sleep(1.2)
@@ -92,9 +92,9 @@
 
     def test_service_without_a_cold_rate(self):
         async def run():
-            rates = SendRates(bounds=BOUNDS, count_daemons=lambda: 9)
+            rates = SendRateLimiter(bounds=BOUNDS, count_daemons=lambda: 9)
             for _ in range(500):
-                rates.note("desk")
+                rates.record_send("desk")
             self.assertTrue(rates.allows(Service(name="desk"), "desk"))
 
         run_virtual(run)
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -11,9 +11,9 @@
 from auburnswitch.endpoints.reservations import HeldReservation
 from auburnswitch.results import Refusal
 from auburnswitch.routing.placement import LONG_PROBES, Placer
-from auburnswitch.routing.policy import OwnerReservations
+from auburnswitch.routing.policy import OwnerReservationPolicy
 from auburnswitch.routing.request import RoutedRequest
-from auburnswitch.routing.strikes import StrikeBook
+from auburnswitch.routing.strike_registry import StrikeRegistry
 from auburnswitch.schema.peers import (
     EndpointHint,
     EndpointPhase,
@@ -81,8 +81,8 @@
         placer = Placer(
             owner_table=owners,
             reservations=owners,
-            policy=OwnerReservations(),
-            strikes=StrikeBook(retention_s=10),
+            policy=OwnerReservationPolicy(),
+            strikes=StrikeRegistry(retention_s=10),
             seed=1,
         )
         request = RoutedRequest(
