--- a/src/auburnswitch/callers/parse.py
+++ b/src/auburnswitch/callers/parse.py
@@ -16,7 +16,7 @@
     default_deadline_s,
     length_class,
 )
-from auburnswitch.routing.request import RoutedRequest, fingerprint
+from auburnswitch.routing.request import RoutedRequest, compute_fingerprint
 from auburnswitch.schema.objects import ServiceKind
 from auburnswitch.schema.results import ResultCode
 
@@ -140,7 +140,7 @@
             prompt_tokens=tokens,
             answer_tokens=answer_tokens,
             length_class=length,
-            fingerprint=fingerprint(caller.team, raw),
+            fingerprint=compute_fingerprint(caller.team, raw),
             path="/v1/chat/completions" if chat else "/v1/completions",
             body=body,
             max_attempts=max(1, service.max_attempts),
@@ -186,7 +186,7 @@
             prompt_tokens=tokens,
             answer_tokens=0,
             length_class=length,
-            fingerprint=fingerprint(caller.team, signed),
+            fingerprint=compute_fingerprint(caller.team, signed),
             path=path,
             idempotent=idempotent,
             max_attempts=max(1, service.max_attempts) if idempotent else 1,
--- a/src/auburnswitch/routing/request.py
+++ b/src/auburnswitch/routing/request.py
@@ -57,11 +57,11 @@
         return self.deadline_at - monotonic_s()
 
 
-def fingerprint(team: str, body: bytes) -> str:
+def compute_fingerprint(team: str, body: bytes) -> str:
     """Returns the hash that recognises a request sent again."""
     digest = hashlib.blake2b(team.encode() + b"\0", digest_size=12)
     digest.update(body)
     return digest.hexdigest()
 
 
-__all__ = ["RoutedRequest", "fingerprint"]
+__all__ = ["RoutedRequest", "compute_fingerprint"]
--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -59,7 +59,7 @@
         rates._sent[ENDPOINT] = deque(times)
         with (
             mock.patch.object(module, "monotonic_s", lambda: NOW_S),
-            mock.patch.object(module, "KNOWN_SHARE", 1.0),
+            mock.patch.object(module, "FLEET_RATE_FRACTION", 1.0),
         ):
             return rates.allows(self.service, ENDPOINT)
 
@@ -125,7 +125,7 @@
         self.refuted(alone(), "WINDOW_S", SECOND_S - 0.05)
 
     def test_no_allowance_for_unknown_daemons(self):
-        self.refuted(apart(), "SPARE_DAEMONS", 0)
+        self.refuted(apart(), "UNSEEN_DAEMON_ALLOWANCE", 0)
 
 
 if __name__ == "__main__":
