--- a/src/auburnswitch/routing/answer_progress.py
+++ b/src/auburnswitch/routing/answer_progress.py
@@ -7,15 +7,15 @@
     """Counts what the caller has of an answer over all attempts.
 
     Attributes:
-        text: Pieces of text delivered.
+        text_parts: Pieces of text delivered.
         prior_tokens: Frames delivered in earlier attempts, one token each.
         attempt_frames: Frames of the present attempt that were taken.
     """
 
-    __slots__ = ("attempt_frames", "prior_tokens", "text")
+    __slots__ = ("attempt_frames", "prior_tokens", "text_parts")
 
     def __init__(self) -> None:
-        self.text: list[str] = []
+        self.text_parts: list[str] = []
         self.prior_tokens = 0
         self.attempt_frames = 0
 
--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -138,7 +138,7 @@
                 return
             accepted = [frame for frame in batch if self._accept(frame)]
             if joined := "".join(frame.text for frame in accepted):
-                self.progress.text.append(joined)
+                self.progress.text_parts.append(joined)
                 yield AnswerText(text=joined)
             for frame in accepted:
                 if frame.finish_reason:
@@ -228,8 +228,8 @@
     body["stream"] = True
     body["max_tokens"] = request.answer_tokens - progress.prior_tokens
     body["priority"] = int(request.length_class)
-    if progress.text:
-        body["continue_text"] = "".join(progress.text)
+    if progress.text_parts:
+        body["continue_text"] = "".join(progress.text_parts)
     return body
 
 
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -165,7 +165,7 @@
                     error.lost or error.status == UNKNOWN_STREAM_STATUS
                 ):
                     await self._note_lost(request, placed)
-                if progress.text and not request.allow_continuation:
+                if progress.text_parts and not request.allow_continuation:
                     break
                 if sent and not self.budget.try_acquire():
                     yield AnswerFailed(refusal=_spent(progress))
@@ -315,21 +315,21 @@
 def _deadline(request: RoutedRequest, progress: AnswerProgress) -> Refusal:
     ran = Ran.NO
     if request.dispatched:
-        ran = Ran.YES if progress.text else Ran.UNKNOWN
+        ran = Ran.YES if progress.text_parts else Ran.UNKNOWN
     return refusal(ResultCode.DEADLINE_EXCEEDED, ran=ran)
 
 
 def _failed(
     request: RoutedRequest, progress: AnswerProgress, reason: str
 ) -> Refusal:
-    if progress.text:
+    if progress.text_parts:
         return refusal(ResultCode.STREAM_BROKEN, reason)
     ran = Ran.UNKNOWN if request.dispatched else Ran.NO
     return refusal(ResultCode.ENDPOINT_FAILED, reason, ran=ran, retry_after_s=1)
 
 
 def _spent(progress: AnswerProgress) -> Refusal:
-    ran = Ran.YES if progress.text else Ran.UNKNOWN
+    ran = Ran.YES if progress.text_parts else Ran.UNKNOWN
     return refusal(
         ResultCode.RETRY_BUDGET_SPENT,
         ran=ran,
@@ -338,7 +338,7 @@
 
 
 def _after_attempts(refused: Refusal, progress: AnswerProgress) -> Refusal:
-    if progress.text:
+    if progress.text_parts:
         refused.ran = Ran.YES
     return refused
 
--- a/src/auburnswitch/routing/retry_budget.py
+++ b/src/auburnswitch/routing/retry_budget.py
@@ -20,14 +20,14 @@
     a daemon with few requests can retry them too.
 
     Attributes:
-        retries: Retries left, with fractions.
+        available_retries: Retries left, with fractions.
     """
 
-    __slots__ = ("filled_at", "retries", "settings")
+    __slots__ = ("available_retries", "filled_at", "settings")
 
     def __init__(self, *, settings: RoutingSettings) -> None:
         self.settings = settings
-        self.retries = float(settings.retry_budget_floor)
+        self.available_retries = float(settings.retry_budget_floor)
         self.filled_at = monotonic_s()
 
     def note_admitted(self) -> None:
@@ -40,19 +40,19 @@
         passed = (now - self.filled_at) / FLOOR_REFILL_S
         self.filled_at = now
         floor = self.settings.retry_budget_floor
-        if self.retries < floor:
-            missing = floor - self.retries
+        if self.available_retries < floor:
+            missing = floor - self.available_retries
             self._add(min(missing, passed * floor))
-        if self.retries < 1:
+        if self.available_retries < 1:
             return False
-        self.retries -= 1
+        self.available_retries -= 1
         return True
 
     def _add(self, retries: float) -> None:
         settings = self.settings
         saved = MAX_SAVED_REQUESTS * settings.retry_budget_share
         most = settings.retry_budget_floor + saved
-        self.retries = min(most, self.retries + retries)
+        self.available_retries = min(most, self.available_retries + retries)
 
 
 __all__ = ["RetryBudget"]
--- a/src/auburnswitch/routing/team_limits.py
+++ b/src/auburnswitch/routing/team_limits.py
@@ -33,7 +33,7 @@
         filled_at: Loop time up to which the level has been filled, in seconds.
         in_flight: Requests of the team that run through this daemon.
         admitted: Tokens that this daemon has ever admitted.
-        peers: Requests in flight at each peer.
+        peer_in_flight: Requests in flight at each peer.
         interval: Number of the heartbeat interval of the counts below.
         interval_tokens: Tokens admitted in the interval.
         interval_requests: Requests admitted in the interval.
@@ -52,7 +52,7 @@
         "interval_start_headroom",
         "interval_start_tokens",
         "interval_tokens",
-        "peers",
+        "peer_in_flight",
     )
 
     def __init__(self, *, spec: Team) -> None:
@@ -60,7 +60,7 @@
         self.filled_at = monotonic_s()
         self.in_flight = 0
         self.admitted = 0
-        self.peers: dict[str, int] = {}
+        self.peer_in_flight: dict[str, int] = {}
         self.interval = -1
         self.interval_tokens = 0
         self.interval_requests = 0
@@ -76,8 +76,8 @@
         )
         self.available_tokens = min(bucket_capacity(spec), filled)
         self.filled_at = now
-        for peer_id in self.peers.keys() - live:
-            del self.peers[peer_id]
+        for peer_id in self.peer_in_flight.keys() - live:
+            del self.peer_in_flight[peer_id]
         if interval != self.interval:
             self.interval = interval
             self.interval_tokens = 0
@@ -90,7 +90,7 @@
     @property
     def total_in_flight(self) -> int:
         """Requests of the team that run through all daemons."""
-        return self.in_flight + sum(self.peers.values())
+        return self.in_flight + sum(self.peer_in_flight.values())
 
     def record_admission(self, tokens: int) -> None:
         """Counts an admitted request."""
@@ -182,13 +182,13 @@
         """Takes what a peer's teams have used."""
         peer_id = heartbeat.sender.id
         for meter in self.meters.values():
-            meter.peers.pop(peer_id, None)
+            meter.peer_in_flight.pop(peer_id, None)
         for usage in heartbeat.usage:
             spec = self.state.teams.get(usage.team)
             if spec is None:
                 continue
             meter = self._meter(usage.team, spec)
-            meter.peers[peer_id] = usage.in_flight
+            meter.peer_in_flight[peer_id] = usage.in_flight
             meter.available_tokens -= usage.tokens
 
     def _meter(self, team: str, spec: Team) -> TeamMeter:
