--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -7,14 +7,17 @@
 
 from auburnswitch.observe.logs import log_event
 from auburnswitch.platform.endpoint_calls import AnswerHead
-from auburnswitch.routing.attempt import Attempt
-from auburnswitch.routing.endpoint_health import HARD_FAILURE, SOFT_FAILURE
+from auburnswitch.routing.attempt import AttemptRunner
+from auburnswitch.routing.endpoint_health import (
+    HARD_FAILURE_WEIGHT,
+    SOFT_FAILURE_WEIGHT,
+)
 from auburnswitch.routing.memory_reservations import MemoryRefusal
 from auburnswitch.routing.outcomes import (
     AttemptFailed,
     Delivered,
+    DeliveryFailed,
     DeliveryProgress,
-    Failed,
     RetryAdvice,
 )
 from auburnswitch.routing.placement_wait import wait_for_placement
@@ -23,7 +26,7 @@
 if TYPE_CHECKING:
     from auburnswitch.observe.statistics import EntryStatistics
     from auburnswitch.platform.endpoint_calls import EndpointCalls
-    from auburnswitch.routing.crash_record import CrashRecord
+    from auburnswitch.routing.crash_registry import CrashRegistry
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_selector import (
         EndpointSelector,
@@ -31,19 +34,19 @@
     )
     from auburnswitch.routing.memory_reservations import MemoryReservations
     from auburnswitch.routing.outcomes import AnswerWriter
-    from auburnswitch.routing.window_budget import WindowBudget
+    from auburnswitch.routing.windowed_retry_budget import WindowedRetryBudget
 
-RETRY_MIN_S: Final = 0.03
-SEND_MIN_S: Final = 0.02
+MIN_RETRY_TIME_LEFT_S: Final = 0.03
+MIN_SEND_TIME_LEFT_S: Final = 0.02
 
 
-class Courier:
+class DeliveryRunner:
     """Sends requests to endpoints and relays their answers."""
 
     __slots__ = (
         "budget",
         "calls",
-        "crashes",
+        "crash_registry",
         "memory",
         "selector",
         "statistics",
@@ -54,13 +57,13 @@
         *,
         selector: EndpointSelector,
         calls: EndpointCalls,
-        budget: WindowBudget,
+        budget: WindowedRetryBudget,
         memory: MemoryReservations,
-        crashes: CrashRecord,
+        crash_registry: CrashRegistry,
         statistics: EntryStatistics,
     ) -> None:
         self.statistics = statistics
-        self.crashes = crashes
+        self.crash_registry = crash_registry
         self.memory = memory
         self.selector = selector
         self.calls = calls
@@ -68,11 +71,11 @@
 
     async def deliver(
         self, job: DeliveryJob, writer: AnswerWriter
-    ) -> Delivered | Failed:
+    ) -> Delivered | DeliveryFailed:
         """Delivers a request, within its deadline."""
         self.budget.note_request(job.service.name)
-        if self.crashes.is_refused(job.fingerprint):
-            return Failed(
+        if self.crash_registry.is_refused(job.fingerprint):
+            return DeliveryFailed(
                 reason="crashes endpoints",
                 may_have_run=False,
                 retry=RetryAdvice.NEVER,
@@ -82,17 +85,19 @@
             async with asyncio.timeout_at(job.deadline_at):
                 return await self._attempts(job, writer, progress)
         except TimeoutError:
-            return Failed(reason="deadline", may_have_run=progress.may_have_run)
+            return DeliveryFailed(
+                reason="deadline", may_have_run=progress.may_have_run
+            )
 
     async def _attempts(
         self, job: DeliveryJob, writer: AnswerWriter, progress: DeliveryProgress
-    ) -> Delivered | Failed:
+    ) -> Delivered | DeliveryFailed:
         last: AttemptFailed | None = None
         while True:
             if last is not None and not self._may_retry(job, last):
                 return await self._give_up(last, writer, progress)
             placement = await wait_for_placement(self.selector, job)
-            if job.time_left_s() < SEND_MIN_S:
+            if job.time_left_s() < MIN_SEND_TIME_LEFT_S:
                 placement = None  # also after this process stood still
             if placement is None:
                 if last is not None:
@@ -117,34 +122,34 @@
                 attempts=job.attempts,
             )
 
-    def _no_room(self, job: DeliveryJob) -> Failed:
+    def _no_room(self, job: DeliveryJob) -> DeliveryFailed:
         if self.selector.is_feasible(job):
-            return Failed(reason="no room", may_have_run=False)
-        return Failed(
+            return DeliveryFailed(reason="no room", may_have_run=False)
+        return DeliveryFailed(
             reason="too few endpoints in service",
             may_have_run=False,
             retry=RetryAdvice.LATER,
         )
 
     def _may_retry(self, job: DeliveryJob, last: AttemptFailed) -> bool:
-        if last.may_have_run and not job.repeatable:
+        if last.may_have_run and not job.retryable:
             return False
-        if self.crashes.is_careful(job.fingerprint):
+        if self.crash_registry.is_retry_forbidden(job.fingerprint):
             return False
         if job.attempts >= job.route.max_attempts:
             return False
-        if job.time_left_s() < RETRY_MIN_S:
+        if job.time_left_s() < MIN_RETRY_TIME_LEFT_S:
             return False
-        return not last.sent or self.budget.take(job.service.name)
+        return not last.sent or self.budget.try_acquire(job.service.name)
 
     async def _give_up(
         self,
         last: AttemptFailed,
         writer: AnswerWriter,
         progress: DeliveryProgress,
-    ) -> Delivered | Failed:
+    ) -> Delivered | DeliveryFailed:
         if last.head is None or writer.started:
-            return Failed(
+            return DeliveryFailed(
                 reason=last.reason, may_have_run=progress.may_have_run
             )
         await writer.start(last.head.status, last.head.headers)
@@ -172,7 +177,7 @@
                         may_have_run=False,
                         sent=False,
                     )
-                attempt = Attempt(
+                attempt = AttemptRunner(
                     selector=self.selector,
                     statistics=self.statistics,
                     job=job,
@@ -183,8 +188,8 @@
                 outcome = await attempt.run(helpers, self.calls)
         finally:
             self.selector.end(placement)
-        if isinstance(outcome, AttemptFailed) and outcome.cut:
-            self.crashes.note(job.fingerprint, endpoint.id)
+        if isinstance(outcome, AttemptFailed) and outcome.connection_broken:
+            self.crash_registry.record_crash(job.fingerprint, endpoint.id)
         self._note_health(endpoint.id, outcome, job)
         return outcome
 
@@ -200,19 +205,21 @@
                 other != endpoint
             ):
                 job.excluded.add(other)
-                health.note_failure(other, reason, HARD_FAILURE)
+                health.note_failure(other, reason, HARD_FAILURE_WEIGHT)
             case Delivered():
                 health.note_success(endpoint)
             case AttemptFailed(sent=True, may_have_run=False, reason=reason):
                 self.selector.load.by_endpoint[endpoint].note_full()
-                health.note_failure(endpoint, reason, SOFT_FAILURE)
+                health.note_failure(endpoint, reason, SOFT_FAILURE_WEIGHT)
             case AttemptFailed(head=AnswerHead()):
-                health.note_failure(endpoint, outcome.reason, SOFT_FAILURE)
+                health.note_failure(
+                    endpoint, outcome.reason, SOFT_FAILURE_WEIGHT
+                )
             case (
                 AttemptFailed(sent=True, reason=reason)
                 | AttemptFailed(failed_to_connect=True, reason=reason)
             ):
-                health.note_failure(endpoint, reason, HARD_FAILURE)
+                health.note_failure(endpoint, reason, HARD_FAILURE_WEIGHT)
 
 
-__all__ = ["Courier"]
+__all__ = ["DeliveryRunner"]
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -64,7 +64,7 @@
     if placement.late:
         return True
     slack_s = (
-        job.target_left_s() * MAX_DEFERRAL_TARGET_SHARE
+        job.target_time_left_s() * MAX_DEFERRAL_TARGET_SHARE
         - placement.first_token_s
     )
     return placement.delays_others and slack_s > 0
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -7,8 +7,12 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.logs import log_event
 from auburnswitch.platform.endpoint_calls import Broken
-from auburnswitch.routing.event_relay import EventSplitter, event_id, is_newer
 from auburnswitch.routing.outcomes import AttemptFailed, Delivered
+from auburnswitch.routing.sse_events import (
+    SseEventSplitter,
+    is_newer_event,
+    parse_event_id,
+)
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
@@ -16,13 +20,13 @@
 
     from auburnswitch.observe.statistics import EntryStatistics
     from auburnswitch.platform.endpoint_calls import AnswerHead
+    from auburnswitch.routing.attempt_timeouts import AttemptTimeouts
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_selector import (
         EndpointSelector,
         Placement,
     )
     from auburnswitch.routing.outcomes import AnswerWriter, DeliveryProgress
-    from auburnswitch.routing.silence import SilenceWatchdog
 
 
 class StreamRelay:
@@ -36,7 +40,7 @@
         writer: Writes to the caller.
         progress: What the caller has so far.
         timer: Ends the attempt when the endpoint is silent.
-        waits: How long it may be silent.
+        timeouts: How long it may be silent.
         splitter: Holds the part of an event that has come.
     """
 
@@ -47,8 +51,8 @@
         "selector",
         "splitter",
         "statistics",
+        "timeouts",
         "timer",
-        "waits",
         "writer",
     )
 
@@ -62,7 +66,7 @@
         writer: AnswerWriter,
         progress: DeliveryProgress,
         timer: asyncio.Timeout,
-        waits: SilenceWatchdog,
+        timeouts: AttemptTimeouts,
     ) -> None:
         self.selector = selector
         self.statistics = statistics
@@ -71,8 +75,8 @@
         self.writer = writer
         self.progress = progress
         self.timer = timer
-        self.waits = waits
-        self.splitter = EventSplitter()
+        self.timeouts = timeouts
+        self.splitter = SseEventSplitter()
 
     async def run(self, answer: AnswerHead) -> Delivered | AttemptFailed:
         """Relays until the stream ends or breaks."""
@@ -80,7 +84,9 @@
             data = await answer.read_chunk()
             if isinstance(data, Broken):
                 return AttemptFailed(
-                    reason=data.reason, may_have_run=True, cut=True
+                    reason=data.reason,
+                    may_have_run=True,
+                    connection_broken=True,
                 )
             if not data:
                 break
@@ -88,24 +94,24 @@
             if events:
                 await self._pass_on(answer, events)
         await self._start(answer)
-        if self.splitter.rest:
-            await self.writer.write(self.splitter.rest)
+        if self.splitter.buffer:
+            await self.writer.write(self.splitter.buffer)
         await self.writer.finish()
         return Delivered(status=answer.status)
 
     async def _pass_on(self, answer: AnswerHead, events: list[bytes]) -> None:
-        gap_s = self.waits.gap_s()
+        gap_s = self.timeouts.gap_timeout_s()
         when = None if gap_s is None else monotonic_s() + gap_s
         self.timer.reschedule(when)
         if not self.placement.item.writing:
             self._note_read()
         last_id = self.progress.last_event_id
-        new = [event for event in events if is_newer(event, last_id)]
+        new = [event for event in events if is_newer_event(event, last_id)]
         if not new:
             return
         await self._start(answer)
         await self.writer.write(b"".join(new))
-        self.progress.last_event_id = event_id(new[-1]) or last_id
+        self.progress.last_event_id = parse_event_id(new[-1]) or last_id
 
     def _note_read(self) -> None:
         self.selector.note_prefilled(self.placement)
--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -11,8 +11,8 @@
 from collections import deque
 from unittest import mock
 
-from auburnswitch.routing import send_rates as module
-from auburnswitch.routing.send_rates import SendRates
+from auburnswitch.routing import send_rate_limiter as module
+from auburnswitch.routing.send_rate_limiter import SendRateLimiter
 from auburnswitch.schema.entry import BoundSettings
 from auburnswitch.schema.installation import Service
 from tests.model_search import BrokenRuleError, search
@@ -54,12 +54,12 @@
     def allows(self, ages: tuple[int, ...]) -> bool:
         """Asks the real code about one more request."""
         bounds = BoundSettings(cold_ratio=1.0, cold_extra=0)
-        rates = SendRates(bounds=bounds, count_daemons=lambda: self.known)
+        rates = SendRateLimiter(bounds=bounds, count_daemons=lambda: self.known)
         times = [NOW_S - age * self.tick_s for age in sorted(ages)[::-1]]
         rates._sent[ENDPOINT] = deque(times)
         with (
             mock.patch.object(module, "monotonic_s", lambda: NOW_S),
-            mock.patch.object(module, "KNOWN_SHARE", 1.0),
+            mock.patch.object(module, "FLEET_RATE_FRACTION", 1.0),
         ):
             return rates.allows(self.service, ENDPOINT)
 
@@ -125,7 +125,7 @@
         self.refuted(alone(), "WINDOW_S", SECOND_S - 0.05)
 
     def test_no_allowance_for_unknown_daemons(self):
-        self.refuted(apart(), "SPARE_DAEMONS", 0)
+        self.refuted(apart(), "UNSEEN_DAEMON_ALLOWANCE", 0)
 
 
 if __name__ == "__main__":
