--- a/src/auburnswitch/callers/entry_answers.py
+++ b/src/auburnswitch/callers/entry_answers.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from auburnswitch.platform.names import RETRY_AFTER
+from auburnswitch.platform.protocol import RETRY_AFTER_HEADER
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -80,7 +80,7 @@
             ("content-length", str(len(body))),
         ]
         if refused.retry_after_s is not None:
-            headers.append((RETRY_AFTER, f"{refused.retry_after_s:.2f}"))
+            headers.append((RETRY_AFTER_HEADER, f"{refused.retry_after_s:.2f}"))
         await self.start(refused.status, headers)
         await self.write(body)
         await self.finish()
--- a/src/auburnswitch/callers/parse.py
+++ b/src/auburnswitch/callers/parse.py
@@ -76,7 +76,7 @@
         """
         scheme, _, key = headers.get("authorization", "").partition(" ")
         digest = hashlib.sha256(key.strip().encode()).hexdigest()
-        name = self.state.team_of_digest.get(digest)
+        name = self.state.team_by_key_digest.get(digest)
         if scheme.lower() != "bearer" or not key or name is None:
             raise RefusalError(refusal(ResultCode.BAD_CALLER_KEY))
         return Caller(team=name, weight=self.state.teams[name].weight)
--- a/src/auburnswitch/claims/claims.py
+++ b/src/auburnswitch/claims/claim_store.py
@@ -16,21 +16,21 @@
     MAX_CLOCK_SKEW_S,
     AddClaim,
     AlreadyClaimed,
-    Claimed,
+    ClaimAcquired,
     ClaimOutcome,
     ClaimUnavailable,
     DropClaim,
     RecordOutcome,
-    finished_claim,
-    first_shard,
+    claim_with_outcome,
+    initial_shard_index,
     split_bit,
 )
-from auburnswitch.claims.writer import (
+from auburnswitch.claims.shard_writer import (
     PendingChange,
     ShardWriter,
     child_key,
 )
-from auburnswitch.object_store.store import (
+from auburnswitch.object_store.client import (
     ABSENT,
     CallPriority,
     StoredObject,
@@ -42,19 +42,21 @@
 
 if TYPE_CHECKING:
     from auburnswitch.clock import WallClock
-    from auburnswitch.object_store.store import ObjectStore
+    from auburnswitch.object_store.client import ObjectStoreClient
     from auburnswitch.observe.tasks import TaskSet
     from auburnswitch.schema.settings import PlatformSettings
 
-Forward = Callable[[str, PendingChange], Awaitable["ClaimOutcome | None"]]
+ChangeForwarder = Callable[
+    [str, PendingChange], Awaitable["ClaimOutcome | None"]
+]
 
 CLAIMS_PREFIX: Final = "claims/"
 LAYOUT_KEY: Final = "claim-layout"
 MAX_RECORDED_BYTES: Final = 4096
 DISPATCH_WINDOW_S: Final = 10.0
-CLAIM_WAIT_S: Final = 5.0
+CLAIM_TIMEOUT_S: Final = 5.0
 CACHED_SHARDS: Final = 64
-RECORD_WAIT_S: Final = 1.0
+RECORD_TIMEOUT_S: Final = 1.0
 
 
 def hash_key(team: str, service: str, key: str) -> str:
@@ -70,20 +72,20 @@
         store: The platform's store.
         settings: How long claims are kept and when shards are split.
         forward: Has another daemon make a change, if one should.
-        is_gone: Tells whether a member is known to have ended.
+        has_member_ended: Tells whether a member is known to have ended.
         writers: Writers of the shards in use, by key.
-        shards: Shards that the claims started with; 0 until it is known.
+        shard_count: Shards that the claims started with; 0 until it is known.
     """
 
     __slots__ = (
         "clock",
         "forward",
-        "is_gone",
+        "has_member_ended",
         "layout_lock",
         "member_id",
-        "random",
+        "rng",
         "settings",
-        "shards",
+        "shard_count",
         "store",
         "tasks",
         "writers",
@@ -92,24 +94,24 @@
     def __init__(
         self,
         *,
-        store: ObjectStore,
+        store: ObjectStoreClient,
         settings: PlatformSettings,
         clock: WallClock,
         member_id: str,
         tasks: TaskSet,
         seed: int = 0,
-        is_gone: Callable[[str], bool] = lambda member_id: False,
+        has_member_ended: Callable[[str], bool] = lambda member_id: False,
     ) -> None:
         self.store = store
         self.settings = settings
         self.clock = clock
         self.member_id = member_id
         self.tasks = tasks
-        self.random = random.Random(seed)
-        self.is_gone = is_gone
-        self.forward: Forward | None = None
+        self.rng = random.Random(seed)
+        self.has_member_ended = has_member_ended
+        self.forward: ChangeForwarder | None = None
         self.writers: dict[str, ShardWriter] = {}
-        self.shards = 0
+        self.shard_count = 0
         self.layout_lock = asyncio.Lock()
 
     async def claim(
@@ -129,7 +131,7 @@
         claim = self._new_claim(key_hash, request_hash, time_left_s)
         pending = PendingChange(change=AddClaim(claim=claim))
         try:
-            async with asyncio.timeout(min(CLAIM_WAIT_S, time_left_s)):
+            async with asyncio.timeout(min(CLAIM_TIMEOUT_S, time_left_s)):
                 unavailable = await self._find_layout()
                 if unavailable is not None:
                     return ClaimUnavailable(reason=unavailable.reason)
@@ -153,7 +155,7 @@
         """
         dropped = len(body) > MAX_RECORDED_BYTES
         text = "" if dropped else base64.b64encode(body).decode("ascii")
-        done = finished_claim(
+        done = claim_with_outcome(
             claim,
             state=ClaimState.DONE,
             status=status,
@@ -165,7 +167,7 @@
         if await self._forward(pending):
             return
         self._route(pending)
-        await asyncio.wait({pending.outcome}, timeout=RECORD_WAIT_S)
+        await asyncio.wait({pending.outcome}, timeout=RECORD_TIMEOUT_S)
 
     async def commit_for_peer(
         self, pending: PendingChange, timeout_s: float
@@ -185,17 +187,17 @@
         if self.forward is None:
             return None
         key_hash = pending.change.claim.key_hash
-        shard = f"claims {first_shard(key_hash, self.shards)}"
+        shard = f"claims {initial_shard_index(key_hash, self.shard_count)}"
         return await self.forward(shard, pending)
 
     def record_unknown(self, claim: Claim) -> None:
         """Records that a claimed request was sent and has no known outcome."""
-        unknown = finished_claim(claim, state=ClaimState.UNKNOWN)
+        unknown = claim_with_outcome(claim, state=ClaimState.UNKNOWN)
         self._route(PendingChange(change=RecordOutcome(claim=unknown)))
 
     def drop(self, claim: Claim) -> None:
         """Drops the claim of a request that was certainly not sent."""
-        if self.shards:
+        if self.shard_count:
             self._route(PendingChange(change=DropClaim(claim=claim)))
 
     def _drop_if_written(self, pending: PendingChange) -> None:
@@ -218,7 +220,9 @@
         now_s = self.clock.now_s() - MAX_CLOCK_SKEW_S
         if now_s <= claim.dispatch_by:
             return True
-        return now_s <= claim.deadline_at and not self.is_gone(claim.member_id)
+        return now_s <= claim.deadline_at and not self.has_member_ended(
+            claim.member_id
+        )
 
     def _new_claim(
         self, key_hash: str, request_hash: str, time_left_s: float
@@ -237,7 +241,7 @@
 
     def _route(self, pending: PendingChange) -> None:
         key_hash = pending.change.claim.key_hash
-        key = f"{CLAIMS_PREFIX}{first_shard(key_hash, self.shards):04d}"
+        key = f"{CLAIMS_PREFIX}{initial_shard_index(key_hash, self.shard_count):04d}"
         depth = 0
         writer = self._writer(key, depth)
         while writer.split_into:
@@ -254,12 +258,12 @@
             writer = self.writers[key] = ShardWriter(
                 key=key,
                 depth=depth,
-                shards=self.shards,
+                shard_count=self.shard_count,
                 store=self.store,
                 settings=self.settings,
                 clock=self.clock,
                 tasks=self.tasks,
-                random=self.random,
+                random=self.rng,
                 route=self._route,
             )
         return writer
@@ -273,16 +277,16 @@
 
     async def _find_layout(self) -> StoreUnavailable | None:
         """Learns how many shards there are, which all must agree on."""
-        if self.shards:
+        if self.shard_count:
             return None
         async with self.layout_lock:
             return await self._read_layout()
 
     async def _read_layout(self) -> StoreUnavailable | None:
-        while not self.shards:
+        while not self.shard_count:
             match await self.store.get(LAYOUT_KEY, priority=CallPriority.CLAIM):
                 case Result(tag="ok", ok=StoredObject(value=value)):
-                    self.shards = from_json(ClaimLayout, value).shards
+                    self.shard_count = from_json(ClaimLayout, value).shard_count
                     return None
                 case Result(tag="error", error=error):
                     return error
@@ -307,6 +311,6 @@
     "ClaimOutcome",
     "ClaimStore",
     "ClaimUnavailable",
-    "Claimed",
+    "ClaimAcquired",
     "hash_key",
 ]
--- a/src/auburnswitch/claims/shard.py
+++ b/src/auburnswitch/claims/shard.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Claimed:
+class ClaimAcquired:
     """This daemon holds the claim and may dispatch once."""
 
     claim: Claim
@@ -67,7 +67,7 @@
     reason: str
 
 
-ClaimOutcome = Claimed | AlreadyClaimed | ClaimUnavailable
+ClaimOutcome = ClaimAcquired | AlreadyClaimed | ClaimUnavailable
 
 
 class ShardContents:
@@ -78,10 +78,10 @@
         split_into: Suffix of the two shards that took over, or empty.
         version: Version of the stored object.
         fresh: Read from the store for the present commit.
-        changed: Differs from what is stored.
+        dirty: Differs from what is stored.
     """
 
-    __slots__ = ("changed", "claims", "fresh", "split_into", "version")
+    __slots__ = ("claims", "dirty", "fresh", "split_into", "version")
 
     def __init__(
         self, *, value: Any = None, version: int = 0, fresh: bool = False
@@ -93,7 +93,7 @@
         self.split_into: str = value.get("split_into", "")
         self.version = version
         self.fresh = fresh
-        self.changed = False
+        self.dirty = False
 
     def copy(self) -> ShardContents:
         """Returns a copy whose changes do not show here."""
@@ -111,15 +111,15 @@
             case AddClaim() if stored is not None:
                 return _found(claim, stored)
             case DropClaim():
-                self.changed = True  # voids writes that are still under way
+                self.dirty = True  # voids writes that are still under way
                 if mine and stored.get("state") not in _FINAL_STATES:
                     del self.claims[claim.key_hash]
             case RecordOutcome() if not mine:
                 pass
             case _:
-                self.changed = True
+                self.dirty = True
                 self.claims[claim.key_hash] = encode_claim(claim)
-        return Claimed(claim=claim)
+        return ClaimAcquired(claim=claim)
 
     def prune(self, now_s: float) -> None:
         """Removes the claims whose time is over."""
@@ -136,7 +136,7 @@
             return {"split_into": self.split_into}
         return {"claims": list(self.claims.values())}
 
-    def half(self, depth: int, bit: int) -> ShardContents:
+    def split_half(self, depth: int, bit: int) -> ShardContents:
         """Returns the half of the claims that goes to one of two shards."""
         contents = ShardContents()
         contents.claims = {
@@ -164,9 +164,9 @@
     return False
 
 
-def first_shard(key_hash: str, shards: int) -> int:
+def initial_shard_index(key_hash: str, shard_count: int) -> int:
     """Returns the number of the shard that a key starts in."""
-    return int(key_hash[:8], 16) % shards
+    return int(key_hash[:8], 16) % shard_count
 
 
 def split_bit(key_hash: str, depth: int) -> int:
@@ -180,7 +180,7 @@
     except SchemaError as error:
         return ClaimUnavailable(reason=f"a stored claim is damaged: {error}")
     if earlier.nonce == claim.nonce:
-        return Claimed(claim=claim)  # an earlier write took effect
+        return ClaimAcquired(claim=claim)  # an earlier write took effect
     return AlreadyClaimed(
         claim=earlier, same_request=same_request(claim, earlier)
     )
@@ -191,7 +191,7 @@
     return claim.request_hash == earlier.request_hash
 
 
-def finished_claim(claim: Claim, **outcome: Any) -> Claim:
+def claim_with_outcome(claim: Claim, **outcome: Any) -> Claim:
     """Returns a copy of a claim with its outcome."""
     return dataclasses.replace(claim, **outcome)
 
@@ -202,14 +202,14 @@
     "AlreadyClaimed",
     "ClaimOutcome",
     "ClaimUnavailable",
-    "Claimed",
+    "ClaimAcquired",
     "DropClaim",
     "RecordOutcome",
     "ShardChange",
     "ShardContents",
     "encode_claim",
-    "finished_claim",
-    "first_shard",
+    "claim_with_outcome",
+    "initial_shard_index",
     "is_final",
     "same_request",
     "split_bit",
--- a/src/auburnswitch/claims/writer.py
+++ b/src/auburnswitch/claims/shard_writer.py
@@ -18,8 +18,8 @@
     is_final,
 )
 from auburnswitch.clock import monotonic_s
-from auburnswitch.object_store.call_limiter import RateBucket
-from auburnswitch.object_store.store import (
+from auburnswitch.object_store.call_limiter import TokenBucket
+from auburnswitch.object_store.client import (
     ABSENT,
     CallPriority,
     StoredObject,
@@ -32,17 +32,17 @@
     from collections.abc import Callable
 
     from auburnswitch.clock import WallClock
-    from auburnswitch.object_store.store import ObjectStore
+    from auburnswitch.object_store.client import ObjectStoreClient
     from auburnswitch.observe.tasks import TaskSet
     from auburnswitch.schema.settings import PlatformSettings
 
 COMMIT_BURST: Final = 4.0
-MAX_BATCH: Final = 100
-COMMIT_TIME_S: Final = 4.0
-CONFLICT_DELAY_S: Final = 0.005
-LONGEST_CONFLICT_DELAY_S: Final = 0.1
-FIRST_RETRY_DELAY_S: Final = 0.2
-LONGEST_RETRY_DELAY_S: Final = 5.0
+MAX_BATCH_CHANGES: Final = 100
+COMMIT_TIMEOUT_S: Final = 4.0
+INITIAL_CONFLICT_DELAY_S: Final = 0.005
+MAX_CONFLICT_DELAY_S: Final = 0.1
+INITIAL_RETRY_DELAY_S: Final = 0.2
+MAX_RETRY_DELAY_S: Final = 5.0
 
 
 class PendingChange:
@@ -52,32 +52,38 @@
         change: The change.
         outcome: What came of it.
         written: A write that holds it may have taken effect.
-        give_up_at: Loop time after which a claim is not written any more.
+        commit_deadline_at: Loop time after which a claim is not written any more.
         for_peer: The change is another daemon's.
     """
 
-    __slots__ = ("change", "for_peer", "give_up_at", "outcome", "written")
+    __slots__ = (
+        "change",
+        "commit_deadline_at",
+        "for_peer",
+        "outcome",
+        "written",
+    )
 
     def __init__(
         self,
         *,
         change: ShardChange,
-        timeout_s: float = COMMIT_TIME_S,
+        timeout_s: float = COMMIT_TIMEOUT_S,
         for_peer: bool = False,
     ) -> None:
         self.change = change
         self.for_peer = for_peer
-        self.give_up_at = monotonic_s() + timeout_s
+        self.commit_deadline_at = monotonic_s() + timeout_s
         self.outcome: asyncio.Future[ClaimOutcome] = (
             asyncio.get_running_loop().create_future()
         )
         self.written = False
 
-    def wanted(self) -> bool:
+    def needs_commit(self) -> bool:
         """Tells whether the change still has to be committed."""
         if not isinstance(self.change, AddClaim):
             return True
-        if self.for_peer and monotonic_s() > self.give_up_at:
+        if self.for_peer and monotonic_s() > self.commit_deadline_at:
             return False  # its owner may have dropped it since
         return self.written or not self.outcome.done()
 
@@ -97,7 +103,7 @@
     Attributes:
         key: Key of the stored object.
         depth: Splits that led to this shard.
-        shards: Shards that the claims started with.
+        shard_count: Shards that the claims started with.
         bucket: The shard's part of the fleet's writes of claims.
         waiting: Changes of the next commit.
         contents: What the shard was last known to hold.
@@ -112,10 +118,10 @@
         "contents",
         "depth",
         "key",
-        "random",
+        "rng",
         "route",
         "settings",
-        "shards",
+        "shard_count",
         "split_into",
         "store",
         "task",
@@ -129,8 +135,8 @@
         *,
         key: str,
         depth: int,
-        shards: int,
-        store: ObjectStore,
+        shard_count: int,
+        store: ObjectStoreClient,
         settings: PlatformSettings,
         clock: WallClock,
         tasks: TaskSet,
@@ -139,12 +145,12 @@
     ) -> None:
         self.key = key
         self.depth = depth
-        self.shards = shards
+        self.shard_count = shard_count
         self.store = store
         self.settings = settings
         self.clock = clock
         self.tasks = tasks
-        self.random = random
+        self.rng = random
         self.route = route
         self.waiting: list[PendingChange] = []
         self.wake = asyncio.Event()
@@ -152,7 +158,7 @@
         self.contents: ShardContents | None = None
         self.split_into = ""
         self.commits = 0
-        self.bucket = RateBucket(
+        self.bucket = TokenBucket(
             rate=self._commits_per_second, min_burst=COMMIT_BURST
         )
 
@@ -164,33 +170,33 @@
             self.task = self.tasks.start(self._run(), f"commit {self.key}")
 
     async def _run(self) -> None:
-        delay_s = FIRST_RETRY_DELAY_S
+        delay_s = INITIAL_RETRY_DELAY_S
         while self.waiting:
             await self._pace()
-            batch = self.waiting[:MAX_BATCH]
-            self.waiting = self.waiting[MAX_BATCH:]
+            batch = self.waiting[:MAX_BATCH_CHANGES]
+            self.waiting = self.waiting[MAX_BATCH_CHANGES:]
             failure = await self._commit(batch)
             if failure is None:
-                delay_s = FIRST_RETRY_DELAY_S
+                delay_s = INITIAL_RETRY_DELAY_S
                 continue
             self._fail(batch, failure)
             await self._back_off(delay_s)
-            delay_s = min(2 * delay_s, LONGEST_RETRY_DELAY_S)
+            delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
 
     async def _pace(self) -> None:
         """Waits until the shard may be written; more changes gather."""
         while (wait_s := self.bucket.wait_s()) > 0:
             await asyncio.sleep(wait_s)
-        self.bucket.take()
+        self.bucket.consume()
 
     def _commits_per_second(self) -> float:
-        parts = self.shards * 2**self.depth
-        return self.store.fleet_claim_writes() / parts
+        parts = self.shard_count * 2**self.depth
+        return self.store.fleet_claim_writes_per_second() / parts
 
     async def _back_off(self, delay_s: float) -> None:
         self.wake.clear()
         try:
-            async with asyncio.timeout(delay_s * self.random.uniform(0.5, 1)):
+            async with asyncio.timeout(delay_s * self.rng.uniform(0.5, 1)):
                 await self.wake.wait()
         except TimeoutError:
             return
@@ -213,13 +219,13 @@
 
     async def _commit(self, batch: list[PendingChange]) -> str | None:
         """Commits a batch; returns why it could not, or None."""
-        give_up_at = monotonic_s() + COMMIT_TIME_S
-        delay_s = CONFLICT_DELAY_S
+        commit_deadline_at = monotonic_s() + COMMIT_TIMEOUT_S
+        delay_s = INITIAL_CONFLICT_DELAY_S
         reason = "the shard is too busy"
         if self.contents is not None:
             self.contents.fresh = False
-        while monotonic_s() < give_up_at:
-            batch[:] = [pending for pending in batch if pending.wanted()]
+        while monotonic_s() < commit_deadline_at:
+            batch[:] = [pending for pending in batch if pending.needs_commit()]
             if not batch:
                 return None
             read = await self._read()
@@ -231,7 +237,7 @@
             draft = read.copy()
             draft.prune(self.clock.now_s())
             outcomes = [draft.apply(pending.change) for pending in batch]
-            if not draft.changed:
+            if not draft.dirty:
                 if read.fresh or all(map(is_final, outcomes)):
                     self._resolve(batch, outcomes)
                     return None
@@ -244,8 +250,8 @@
                     return None
                 case Result(error=VersionConflict()):
                     reason = "the shard is too busy"
-                    await asyncio.sleep(delay_s * self.random.random())
-                    delay_s = min(2 * delay_s, LONGEST_CONFLICT_DELAY_S)
+                    await asyncio.sleep(delay_s * self.rng.rng())
+                    delay_s = min(2 * delay_s, MAX_CONFLICT_DELAY_S)
                 case Result(error=StoreUnavailable() as error):
                     if not error.outcome_unknown:
                         return error.reason
@@ -284,7 +290,7 @@
         match put:
             case Result(tag="ok", ok=version):
                 draft.version = version
-                draft.fresh = draft.changed = False
+                draft.fresh = draft.dirty = False
                 self.contents = draft
                 self.commits += 1
         return put
@@ -324,7 +330,7 @@
             return False
         suffix = secrets.token_hex(4)
         for bit in (0, 1):
-            half = contents.half(self.depth, bit)
+            half = contents.split_half(self.depth, bit)
             put = await self.store.put(
                 child_key(self.key, suffix, bit),
                 half.to_json(),
--- a/src/auburnswitch/configuration/config_changes.py
+++ b/src/auburnswitch/configuration/config_diff.py
@@ -11,7 +11,7 @@
     from auburnswitch.schema.installation import InstallationConfig
 
 
-def find_changes(
+def diff_configs(
     old: InstallationConfig, new: InstallationConfig
 ) -> ConfigChanges | None:
     """Returns what leads from one version to another.
@@ -34,7 +34,7 @@
     )
 
 
-def apply_changes(
+def apply_config_changes(
     old: InstallationConfig, changes: ConfigChanges
 ) -> InstallationConfig:
     """Returns the version that changes lead to."""
@@ -45,4 +45,4 @@
     return dataclasses.replace(changes.rest, routes=[*routes.values()])
 
 
-__all__ = ["apply_changes", "find_changes"]
+__all__ = ["apply_config_changes", "diff_configs"]
--- a/src/auburnswitch/configuration/installation.py
+++ b/src/auburnswitch/configuration/installation.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.configuration.config_changes import (
-    apply_changes,
-    find_changes,
+from auburnswitch.configuration.config_diff import (
+    apply_config_changes,
+    diff_configs,
 )
 from auburnswitch.observe.logs import log_event
 from auburnswitch.schema.events import EventId
@@ -29,7 +29,7 @@
         Service,
     )
 
-FROM_STORE: Final = "store"
+STORE_SOURCE: Final = "store"
 
 
 class RouteTable:
@@ -73,7 +73,7 @@
         """Returns the team that a caller's key belongs to."""
         return self._teams.get(caller_key)
 
-    def choose_service(self, route: Route, chance: random.Random) -> str:
+    def choose_service(self, route: Route, rng: random.Random) -> str:
         """Draws a service by the weights of a route."""
         shares = [share for share in route.shares if share.weight > 0]
         if not shares:
@@ -81,7 +81,7 @@
         if len(shares) == 1:
             return shares[0].service_name
         weights = [share.weight for share in shares]
-        return chance.choices(shares, weights)[0].service_name
+        return rng.choices(shares, weights)[0].service_name
 
 
 class KnownEndpoint:
@@ -90,23 +90,23 @@
     Attributes:
         entry: Its newest entry.
         cold_until: Loop time until which it tolerates little load, in seconds.
-        gone_at: Loop time from which a missing entry counts as gone, None
+        removal_due_at: Loop time from which a missing entry counts as gone, None
             while the entry is there.
     """
 
-    __slots__ = ("cold_until", "entry", "gone_at")
+    __slots__ = ("cold_until", "entry", "removal_due_at")
 
     def __init__(self, *, entry: EndpointEntry) -> None:
         self.entry = entry
         self.cold_until = monotonic_s() + entry.cold_s
-        self.gone_at: float | None = None
+        self.removal_due_at: float | None = None
 
     def update(self, entry: EndpointEntry) -> None:
         """Takes over a newer entry."""
         if entry.cold_s > 0:
             self.cold_until = monotonic_s() + entry.cold_s
         self.entry = entry
-        self.gone_at = None
+        self.removal_due_at = None
 
     @property
     def cold(self) -> bool:
@@ -172,8 +172,8 @@
         old = self.table.config if self.table else None
         self.table = RouteTable(config=config)
         log_event(EventId.CONFIG_ADOPTED, version=config.version, **age)
-        if source == FROM_STORE:
-            changes = find_changes(old, config) if old else None
+        if source == STORE_SOURCE:
+            changes = diff_configs(old, config) if old else None
             self._notify(source, changes)
         return True
 
@@ -182,7 +182,7 @@
         known = self.table.config if self.table else None
         if known is None or known.version != changes.since_version:
             return False
-        return self.adopt_config(apply_changes(known, changes), source)
+        return self.adopt_config(apply_config_changes(known, changes), source)
 
     def adopt_endpoints(self, listed: EndpointList, source: str) -> bool:
         """Takes over a whole list of endpoints if it is newer."""
@@ -235,7 +235,7 @@
         now = monotonic_s()
         entries = []
         for known in self.endpoints.values():
-            if known.gone_at is None:
+            if known.removal_due_at is None:
                 known.entry.cold_s = max(0.0, known.cold_until - now)
                 entries.append(known.entry)
         return EndpointList(revision=self.endpoints_revision, endpoints=entries)
@@ -256,7 +256,9 @@
             return False
         if not known.entry.ready or known.entry.zone in self.closed_zones:
             return False
-        return known.gone_at is None or monotonic_s() < known.gone_at
+        return (
+            known.removal_due_at is None or monotonic_s() < known.removal_due_at
+        )
 
     def _adopt_first(self, listed: EndpointList, source: str) -> None:
         """Takes over a first list with one log line for all endpoints."""
@@ -286,7 +288,9 @@
         if known is None:
             return
         if monotonic_s() < self.lapsed_grace_until:
-            known.gone_at = known.gone_at or self.lapsed_grace_until
+            known.removal_due_at = (
+                known.removal_due_at or self.lapsed_grace_until
+            )
             return
         del self.endpoints[endpoint_id]
         self._log_endpoint(known.entry, "removed", source)
@@ -309,10 +313,10 @@
         source: str,
         changes: EndpointChanges | ConfigChanges | None = None,
     ) -> None:
-        if source != FROM_STORE:
+        if source != STORE_SOURCE:
             return  # the peer that read it tells the others itself
         for listener in self.listeners:
             listener(changes)
 
 
-__all__ = ["FROM_STORE", "Installation", "KnownEndpoint", "RouteTable"]
+__all__ = ["STORE_SOURCE", "Installation", "KnownEndpoint", "RouteTable"]
--- a/src/auburnswitch/configuration/follower.py
+++ b/src/auburnswitch/configuration/installation_watcher.py
@@ -6,12 +6,16 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.configuration.installation import FROM_STORE
+from auburnswitch.configuration.installation import STORE_SOURCE
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform import names
-from auburnswitch.platform.configuration import decode_config, decode_endpoint
+from auburnswitch.platform import protocol
+from auburnswitch.platform.config_decoder import decode_config, decode_endpoint
 from auburnswitch.platform.fields import FieldError
-from auburnswitch.platform.store import HistoryGone, Listing, StoreFailure
+from auburnswitch.platform.store_client import (
+    Listing,
+    RevisionExpired,
+    StoreFailure,
+)
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.gossip import EndpointChanges
 from auburnswitch.schema.installation import ClosedZones, EndpointList
@@ -20,22 +24,25 @@
     from collections.abc import Callable
 
     from auburnswitch.configuration.installation import Installation
-    from auburnswitch.platform.store import PlatformStore, StoredObject
+    from auburnswitch.platform.store_client import (
+        PlatformStoreClient,
+        StoredObject,
+    )
     from auburnswitch.schema.entry import BoundSettings
     from auburnswitch.schema.installation import EndpointEntry
 
-RETRY_INTERVAL_S: Final = 0.3
-LONGEST_RETRY_INTERVAL_S: Final = 1.0
-RETRY_GROWTH: Final = 1.6
+INITIAL_RETRY_INTERVAL_S: Final = 0.3
+MAX_RETRY_INTERVAL_S: Final = 1.0
+RETRY_BACKOFF_FACTOR: Final = 1.6
 IDLE_INTERVAL_S: Final = 0.1
-KINDS: Final = (
-    names.CONFIG_KIND,
-    names.CLOSED_ZONES_KIND,
-    names.ENDPOINTS_KIND,
+WATCHED_KINDS: Final = (
+    protocol.CONFIG_KIND,
+    protocol.CLOSED_ZONES_KIND,
+    protocol.ENDPOINTS_KIND,
 )
 
 
-class StoreFollower:
+class InstallationWatcher:
     """Keeps the installation as new as the store.
 
     Attributes:
@@ -58,7 +65,7 @@
     def __init__(
         self,
         *,
-        store: PlatformStore,
+        store: PlatformStoreClient,
         installation: Installation,
         bounds: BoundSettings,
         is_reader: Callable[[], bool],
@@ -74,27 +81,27 @@
     @property
     def read_at(self) -> float | None:
         """Loop time as of which all kinds are known, None before."""
-        if len(self._read_at) < len(KINDS):
+        if len(self._read_at) < len(WATCHED_KINDS):
             return None
         return min(self._read_at.values())
 
-    async def follow(self, kind: str) -> None:
+    async def watch_kind(self, kind: str) -> None:
         """Lists a kind, then waits for its changes, again and again.
 
         While calls fail, only one kind is tried, at growing intervals.
         """
-        pause_s = RETRY_INTERVAL_S
+        pause_s = INITIAL_RETRY_INTERVAL_S
         while True:
-            waits = self.failed_at is not None and kind != KINDS[0]
+            waits = self.failed_at is not None and kind != WATCHED_KINDS[0]
             if waits or not self.is_reader():
                 self._revisions.pop(kind, None)  # may be too old to go on from
                 await asyncio.sleep(IDLE_INTERVAL_S)
             elif await self._read(kind):
-                pause_s = RETRY_INTERVAL_S
+                pause_s = INITIAL_RETRY_INTERVAL_S
             else:
                 await asyncio.sleep(pause_s)
-                pause_s *= RETRY_GROWTH
-                pause_s = min(pause_s, LONGEST_RETRY_INTERVAL_S)
+                pause_s *= RETRY_BACKOFF_FACTOR
+                pause_s = min(pause_s, MAX_RETRY_INTERVAL_S)
 
     async def _read(self, kind: str) -> bool:
         """Makes one call and takes over what it says."""
@@ -108,7 +115,7 @@
                 self._note_failure(kind, reason)
                 self._revisions.pop(kind, None)
                 return False
-            case HistoryGone():
+            case RevisionExpired():
                 self._revisions.pop(kind, None)
                 return True
             case Listing():
@@ -138,23 +145,23 @@
 
     def _adopt_list(self, kind: str, listing: Listing) -> None:
         match kind:
-            case names.CONFIG_KIND:
+            case protocol.CONFIG_KIND:
                 self._adopt_config(listing.objects)
-            case names.CLOSED_ZONES_KIND:
+            case protocol.CLOSED_ZONES_KIND:
                 zones = [o.name for o in listing.objects if not o.deleted]
                 self._adopt_zones(listing.revision, zones)
-            case names.ENDPOINTS_KIND:
+            case protocol.ENDPOINTS_KIND:
                 entries, _ = _split(listing.objects)
                 listed = EndpointList(
                     revision=listing.revision, endpoints=entries
                 )
-                self.installation.adopt_endpoints(listed, FROM_STORE)
+                self.installation.adopt_endpoints(listed, STORE_SOURCE)
 
     def _adopt_changes(self, kind: str, changes: Listing) -> None:
         match kind:
-            case names.CONFIG_KIND:
+            case protocol.CONFIG_KIND:
                 self._adopt_config(changes.objects)
-            case names.CLOSED_ZONES_KIND:
+            case protocol.CLOSED_ZONES_KIND:
                 zones = set(self.installation.closed_zones)
                 for changed in changes.objects:
                     if changed.deleted:
@@ -162,7 +169,7 @@
                     else:
                         zones.add(changed.name)
                 self._adopt_zones(changes.revision, sorted(zones))
-            case names.ENDPOINTS_KIND:
+            case protocol.ENDPOINTS_KIND:
                 entries, removed = _split(changes.objects)
                 since = self._revisions[kind]
                 made = EndpointChanges(
@@ -171,22 +178,22 @@
                     changed=entries,
                     removed=removed,
                 )
-                self.installation.change_endpoints(made, FROM_STORE)
+                self.installation.change_endpoints(made, STORE_SOURCE)
 
     def _adopt_zones(self, revision: int, zones: list[str]) -> None:
         closed = ClosedZones(revision=revision, zones=zones)
-        self.installation.adopt_closed_zones(closed, FROM_STORE)
+        self.installation.adopt_closed_zones(closed, STORE_SOURCE)
 
     def _adopt_config(self, objects: list[StoredObject]) -> None:
         for stored in objects:
-            if stored.name != names.CONFIG_NAME or stored.deleted:
+            if stored.name != protocol.CONFIG_NAME or stored.deleted:
                 continue
             try:
                 config = decode_config(stored.body)
             except FieldError as error:
                 log_event(EventId.CONFIG_REJECTED, reason=str(error))
                 continue
-            self.installation.adopt_config(config, FROM_STORE)
+            self.installation.adopt_config(config, STORE_SOURCE)
 
 
 def _split(
@@ -210,4 +217,4 @@
     return entries, removed
 
 
-__all__ = ["KINDS", "StoreFollower"]
+__all__ = ["WATCHED_KINDS", "InstallationWatcher"]
--- a/src/auburnswitch/configuration/state.py
+++ b/src/auburnswitch/configuration/state.py
@@ -37,9 +37,9 @@
         zones: Availability zones in force, by name.
         services: Services in force, by name.
         endpoints: Endpoints in force, by name.
-        dangling: What is wrong with each endpoint that is left out, since
+        dangling_endpoints: What is wrong with each endpoint that is left out, since
             its service or zone is not there, by the endpoint's name.
-        team_of_digest: Team name by caller-key digest.
+        team_by_key_digest: Team name by caller-key digest.
         digest: Digest of the state; equal states have equal digests.
         listeners: Called after each change of the state.
         invariants: Where a state that reverts is reported.
@@ -48,14 +48,14 @@
     __slots__ = (
         "_by_service",
         "_joined_numbers",
-        "dangling",
+        "dangling_endpoints",
         "digest",
         "endpoints",
         "entries",
         "invariants",
         "listeners",
         "services",
-        "team_of_digest",
+        "team_by_key_digest",
         "teams",
         "zones",
     )
@@ -88,7 +88,7 @@
             self._joined_numbers.get(key, 0) >= ticket.number for key in keys
         )
 
-    def before(self, ticket: Ticket) -> list[VersionedChange]:
+    def superseded_entries(self, ticket: Ticket) -> list[VersionedChange]:
         """Returns the entries that a ticket supersedes."""
         keys = [(ObjectKind(c.kind), c.name) for c in ticket.changes]
         known = [self.entries[key] for key in keys if key in self.entries]
@@ -147,7 +147,7 @@
         for entry in self.entries.values():
             self._apply(entry.change)
         self._leave_out_dangling()
-        self.team_of_digest = {
+        self.team_by_key_digest = {
             digest: name
             for name, team in self.teams.items()
             for digest in team.key_digests
@@ -159,13 +159,17 @@
         self.digest = self._compute_digest()
 
     def _leave_out_dangling(self) -> None:
-        self.dangling: dict[str, str] = {}
+        self.dangling_endpoints: dict[str, str] = {}
         for name, endpoint in self.endpoints.items():
             if endpoint.service not in self.services:
-                self.dangling[name] = f"unknown service {endpoint.service!r}"
+                self.dangling_endpoints[name] = (
+                    f"unknown service {endpoint.service!r}"
+                )
             elif endpoint.zone not in self.zones:
-                self.dangling[name] = f"unknown zone {endpoint.zone!r}"
-        for name in self.dangling:
+                self.dangling_endpoints[name] = (
+                    f"unknown zone {endpoint.zone!r}"
+                )
+        for name in self.dangling_endpoints:
             del self.endpoints[name]
 
     def _apply(self, change: Change) -> None:
--- a/src/auburnswitch/configuration/compaction.py
+++ b/src/auburnswitch/configuration/ticket_poller.py
@@ -9,7 +9,7 @@
 
 from auburnswitch.configuration.state import ConfigState
 from auburnswitch.configuration.tickets import PUBLISHED_PREFIX, SNAPSHOT_KEY
-from auburnswitch.object_store.store import ABSENT, CallPriority, StoredObject
+from auburnswitch.object_store.client import ABSENT, CallPriority, StoredObject
 from auburnswitch.schema.base import SchemaError, from_json, to_json
 from auburnswitch.schema.objects import Snapshot, Ticket
 
@@ -17,10 +17,10 @@
     from collections.abc import Callable
 
     from auburnswitch.configuration.tickets import TicketStore
-    from auburnswitch.object_store.store import Listing, ObjectStore
+    from auburnswitch.object_store.client import Listing, ObjectStoreClient
 
 POLL_INTERVAL_S: Final = 2.0
-COMPACT_FROM_TICKETS: Final = 32
+COMPACTION_MIN_TICKETS: Final = 32
 
 
 class TicketPoller:
@@ -41,7 +41,7 @@
     def __init__(
         self,
         *,
-        store: ObjectStore,
+        store: ObjectStoreClient,
         tickets: TicketStore,
         is_poller: Callable[[], bool],
     ) -> None:
@@ -62,7 +62,7 @@
             case Result(tag="ok", ok=listing):
                 for item in listing.items:
                     self.tickets.handle_ticket(item)
-                if len(listing.items) >= COMPACT_FROM_TICKETS:
+                if len(listing.items) >= COMPACTION_MIN_TICKETS:
                     await self.compact(listing)
 
     async def compact(self, listing: Listing) -> bool:
--- a/src/auburnswitch/configuration/tickets.py
+++ b/src/auburnswitch/configuration/tickets.py
@@ -15,7 +15,7 @@
 from expression import Error, Ok, Result
 
 from auburnswitch.configuration.state import ticket_digest
-from auburnswitch.object_store.store import (
+from auburnswitch.object_store.client import (
     ABSENT,
     CallPriority,
     StoreUnavailable,
@@ -32,12 +32,12 @@
 
 if TYPE_CHECKING:
     from auburnswitch.configuration.state import ConfigState
-    from auburnswitch.object_store.store import ObjectStore, StoredObject
+    from auburnswitch.object_store.client import ObjectStoreClient, StoredObject
 
 TICKETS_PREFIX: Final = "tickets/"
 PUBLISHED_PREFIX: Final = CONFIG_PREFIX + "tickets/"
 SNAPSHOT_KEY: Final = CONFIG_PREFIX + "snapshot"
-WRITE_ATTEMPTS: Final = 3
+MAX_WRITE_ATTEMPTS: Final = 3
 RETRY_DELAY_S: Final = 0.3
 
 
@@ -61,7 +61,7 @@
 
     __slots__ = ("state", "store")
 
-    def __init__(self, *, store: ObjectStore, state: ConfigState) -> None:
+    def __init__(self, *, store: ObjectStoreClient, state: ConfigState) -> None:
         self.store = store
         self.state = state
 
@@ -124,7 +124,7 @@
     async def _publish(self, ticket: Ticket) -> Result[Ticket, Refusal]:
         value = to_json(dataclasses.replace(ticket, before=[]))
         error = StoreUnavailable(reason="")
-        for attempt in range(WRITE_ATTEMPTS):
+        for attempt in range(MAX_WRITE_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(RETRY_DELAY_S)
             put = await self.store.put(
--- a/src/auburnswitch/daemon/parts.py
+++ b/src/auburnswitch/daemon/parts.py
@@ -9,10 +9,10 @@
 from auburnswitch.callers.app import CallerApp
 from auburnswitch.callers.in_flight import InFlightCounter
 from auburnswitch.callers.parse import RequestParser
-from auburnswitch.claims.claims import ClaimStore
+from auburnswitch.claims.claim_store import ClaimStore
 from auburnswitch.clock import WallClock
-from auburnswitch.configuration.compaction import TicketPoller
 from auburnswitch.configuration.state import ConfigState
+from auburnswitch.configuration.ticket_poller import TicketPoller
 from auburnswitch.configuration.tickets import (
     PUBLISHED_PREFIX,
     SNAPSHOT_KEY,
@@ -37,7 +37,7 @@
 from auburnswitch.members.service import Membership
 from auburnswitch.members.strict import StrictRights
 from auburnswitch.members.view import MemberView
-from auburnswitch.object_store.store import ObjectStore
+from auburnswitch.object_store.client import ObjectStoreClient
 from auburnswitch.object_store.watcher import StoreWatcher
 from auburnswitch.observe.invariants import Invariant, Invariants
 from auburnswitch.observe.logs import log_event
@@ -114,7 +114,7 @@
             port=settings.peers.port,
         )
         self.view = MemberView(me=self.member, settings=settings.members)
-        self.store = ObjectStore(
+        self.store = ObjectStoreClient(
             settings=settings.platform,
             session=session,
             member_count=lambda: max(1, len(self.view.roster.members)),
@@ -156,7 +156,7 @@
             "requests_queued": self.owner_table.count_waiting,
             "reservations_held": lambda: len(self.reservations.held),
             "endpoints_owned": lambda: len(self.owner_table.owned()),
-            "store_calls_made": lambda: self.store.calls,
+            "store_calls_made": lambda: self.store.call_count,
         }
         for name, read in gauges.items():
             self.metrics.observe_gauge(name, read)
@@ -285,7 +285,7 @@
             member_id=self.member.id,
             tasks=self.tasks,
             seed=seed,
-            is_gone=self.view.is_gone,
+            has_member_ended=self.view.is_gone,
         )
         self.claim_forwarder = ClaimForwarder(
             claims=self.claims, membership=self.membership
--- a/src/auburnswitch/daemon/status.py
+++ b/src/auburnswitch/daemon/status.py
@@ -11,7 +11,7 @@
     from auburnswitch.configuration.state import ConfigState
     from auburnswitch.endpoints.owner import OwnerTable
     from auburnswitch.members.view import MemberView
-    from auburnswitch.object_store.store import ObjectStore
+    from auburnswitch.object_store.client import ObjectStoreClient
     from auburnswitch.object_store.watcher import StoreWatcher
     from auburnswitch.observe.invariants import Invariants
     from auburnswitch.results import Refusal
@@ -56,7 +56,7 @@
         owner_table: OwnerTable,
         in_flight: InFlightCounter,
         watcher: StoreWatcher,
-        store: ObjectStore,
+        store: ObjectStoreClient,
     ) -> None:
         self.member = member
         self.refuse_new = refuse_new
@@ -94,7 +94,7 @@
             "ready": refused is None,
             "reason": "" if refused is None else refused.code.name.lower(),
             "state_digest": self.state.digest,
-            "left_out_endpoints": self.state.dangling,
+            "left_out_endpoints": self.state.dangling_endpoints,
             "roster_epoch": self.view.roster.epoch,
             "strict_rights": self.view.has_quorum(),
             "roster": self.view.roster_ids(),
@@ -102,7 +102,7 @@
             "owned_endpoints": self.owner_table.owned(),
             "in_flight": self.in_flight.count,
             "store_available": self.watcher.available,
-            "store_calls": self.store.calls,
+            "store_calls": self.store.call_count,
             "violations": {
                 invariant.name.lower(): count
                 for invariant, count in violations.items()
--- a/src/auburnswitch/endpoints/fencing.py
+++ b/src/auburnswitch/endpoints/fencing.py
@@ -6,7 +6,7 @@
 
 from expression import Error, Ok, Result
 
-from auburnswitch.object_store.store import (
+from auburnswitch.object_store.client import (
     ABSENT,
     StoredObject,
     StoreUnavailable,
@@ -16,7 +16,7 @@
 from auburnswitch.schema.objects import FencingRecord
 
 if TYPE_CHECKING:
-    from auburnswitch.object_store.store import ObjectStore
+    from auburnswitch.object_store.client import ObjectStoreClient
 
 FENCING_PREFIX: Final = "fencing/"
 
@@ -31,7 +31,7 @@
 
     __slots__ = ("member_id", "store")
 
-    def __init__(self, *, store: ObjectStore, member_id: str) -> None:
+    def __init__(self, *, store: ObjectStoreClient, member_id: str) -> None:
         self.store = store
         self.member_id = member_id
 
--- a/src/auburnswitch/endpoints/instances.py
+++ b/src/auburnswitch/endpoints/instances.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from auburnswitch.endpoints.owner import OwnerTable
-    from auburnswitch.object_store.store import Instance, ObjectStore
+    from auburnswitch.object_store.client import Instance, ObjectStoreClient
     from auburnswitch.schema.peers import Heartbeat
 
 READER_NAME: Final = "instance list"
@@ -34,7 +34,9 @@
 
     __slots__ = ("has_read", "noted_at", "owner_table", "store")
 
-    def __init__(self, *, store: ObjectStore, owner_table: OwnerTable) -> None:
+    def __init__(
+        self, *, store: ObjectStoreClient, owner_table: OwnerTable
+    ) -> None:
         self.store = store
         self.owner_table = owner_table
         self.has_read = False
@@ -69,7 +71,7 @@
         return wait_s == 0 or monotonic_s() > self.noted_at + wait_s
 
     async def _read(self) -> bool:
-        match await self.store.instances():
+        match await self.store.list_instances():
             case Result(tag="ok", ok=instances):
                 self._note(self._leaving(instances))
                 return True
--- a/src/auburnswitch/entry/checks.py
+++ b/src/auburnswitch/entry/checks.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.platform.names import READINESS_PATH
+from auburnswitch.platform.protocol import READINESS_PATH
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/src/auburnswitch/entry/parts.py
+++ b/src/auburnswitch/entry/parts.py
@@ -8,8 +8,11 @@
 
 from auburnswitch.callers.entry_app import EntryApp
 from auburnswitch.clock import monotonic_s
-from auburnswitch.configuration.follower import KINDS, StoreFollower
 from auburnswitch.configuration.installation import Installation
+from auburnswitch.configuration.installation_watcher import (
+    WATCHED_KINDS,
+    InstallationWatcher,
+)
 from auburnswitch.members.cells import Cells
 from auburnswitch.members.entry_directory import EntryDirectory
 from auburnswitch.members.gossip import GossipNode
@@ -18,8 +21,8 @@
 from auburnswitch.members.state_exchange import StateExchange
 from auburnswitch.observe.logs import log_event
 from auburnswitch.observe.statistics import EntryStatistics
-from auburnswitch.platform.endpoint_calls import EndpointCalls
-from auburnswitch.platform.store import PlatformStore
+from auburnswitch.platform.endpoint_client import PlatformEndpointClient
+from auburnswitch.platform.store_client import PlatformStoreClient
 from auburnswitch.routing.crash_record import CrashRecord
 from auburnswitch.routing.delivery import Courier
 from auburnswitch.routing.endpoint_choice import EndpointChooser
@@ -82,7 +85,7 @@
         self._reader = False
         self._reader_checked_at = -READER_CHECK_S
         self._told_everywhere: set[int] = set()
-        self.store = PlatformStore(settings=settings.store)
+        self.store = PlatformStoreClient(settings=settings.store)
         record = DaemonRecord(
             instance=settings.instance.name,
             zone=settings.instance.zone,
@@ -110,7 +113,7 @@
             zone=record.zone,
             chance=chance,
         )
-        self.follower = StoreFollower(
+        self.follower = InstallationWatcher(
             store=self.store,
             installation=self.installation,
             bounds=settings.bounds,
@@ -130,7 +133,7 @@
             cells=self.cells,
             chance=chance,
         )
-        calls = EndpointCalls()
+        calls = PlatformEndpointClient()
         self.memory = JointMemory(
             calls=calls, prefix=f"{record.instance}-{self.gossip.incarnation}"
         )
@@ -171,8 +174,8 @@
 
     def start(self) -> None:
         """Starts the background tasks."""
-        for kind in KINDS:
-            self.tasks.start(self.follower.follow(kind), f"follow {kind}")
+        for kind in WATCHED_KINDS:
+            self.tasks.start(self.follower.watch_kind(kind), f"follow {kind}")
         self.tasks.start(self._join(), "join")
         self.tasks.start(self.gossip.run(), "gossip")
         self.tasks.start(self._expire(), "expire")
@@ -184,7 +187,7 @@
         return {
             "requests_in_flight": lambda: self.app.in_flight,
             "live_peers": lambda: len(self.gossip.live_peers()),
-            "store_calls": lambda: self.store.calls,
+            "store_calls": lambda: self.store.call_count,
             "config_version": lambda: self.installation.config_version,
             "endpoints": lambda: len(self.installation.endpoints),
         }
--- a/src/auburnswitch/experiments/claims_cost.py
+++ b/src/auburnswitch/experiments/claims_cost.py
@@ -18,15 +18,19 @@
 import aiohttp
 import fire
 
-from auburnswitch.claims.claims import ClaimStore, hash_key
+from auburnswitch.claims.claim_store import ClaimStore, hash_key
 from auburnswitch.claims.shard import (
-    Claimed,
+    ClaimAcquired,
     ClaimOutcome,
     ClaimUnavailable,
 )
-from auburnswitch.claims.writer import PendingChange
+from auburnswitch.claims.shard_writer import PendingChange
 from auburnswitch.clock import WallClock, monotonic_s
-from auburnswitch.object_store.store import ABSENT, CallPriority, ObjectStore
+from auburnswitch.object_store.client import (
+    ABSENT,
+    CallPriority,
+    ObjectStoreClient,
+)
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.base import to_json
 from auburnswitch.schema.objects import Claim, ClaimState
@@ -68,7 +72,7 @@
 
     __slots__ = ("store",)
 
-    def __init__(self, *, store: ObjectStore) -> None:
+    def __init__(self, *, store: ObjectStoreClient) -> None:
         self.store = store
 
     async def claim(
@@ -86,7 +90,7 @@
             expected_version=ABSENT,
             priority=CallPriority.CLAIM,
         )
-        return Claimed(claim=claim) if put.is_ok() else None
+        return ClaimAcquired(claim=claim) if put.is_ok() else None
 
     async def record(
         self, claim: Claim, status: int, content_type: str, body: bytes
@@ -134,7 +138,7 @@
     async def _book(self, claims: Claims, key: str) -> None:
         started = time.perf_counter()
         match await claims.claim(key, "", time_left_s=10):
-            case Claimed(claim=claim):
+            case ClaimAcquired(claim=claim):
                 self.latencies_s.append(time.perf_counter() - started)
                 await asyncio.sleep(SERVICE_TIME_S)
                 await claims.record(claim, 201, "application/json", ANSWER)
@@ -155,7 +159,7 @@
                 aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
             )
             settings = PlatformSettings(url=platform.url, claim_shards=SHARDS)
-            store = ObjectStore(
+            store = ObjectStoreClient(
                 settings=settings,
                 session=session,
                 member_count=lambda: DAEMONS,
--- a/src/auburnswitch/members/claim_forwarder.py
+++ b/src/auburnswitch/members/claim_forwarder.py
@@ -11,12 +11,12 @@
 from auburnswitch.claims.shard import (
     AddClaim,
     AlreadyClaimed,
-    Claimed,
+    ClaimAcquired,
     ClaimOutcome,
     RecordOutcome,
     same_request,
 )
-from auburnswitch.claims.writer import PendingChange
+from auburnswitch.claims.shard_writer import PendingChange
 from auburnswitch.members.frames import FrameError
 from auburnswitch.members.rendezvous import rendezvous_first
 from auburnswitch.schema.peers import (
@@ -27,7 +27,7 @@
 )
 
 if TYPE_CHECKING:
-    from auburnswitch.claims.claims import ClaimStore
+    from auburnswitch.claims.claim_store import ClaimStore
     from auburnswitch.members.server import PeerServer
     from auburnswitch.members.service import Membership
 
@@ -81,7 +81,7 @@
             return None
         match reply:
             case KeyClaimReply(verdict=ClaimVerdict.DONE):
-                return Claimed(claim=change.claim)
+                return ClaimAcquired(claim=change.claim)
             case KeyClaimReply(verdict=ClaimVerdict.EXISTS, earlier=earlier):
                 return AlreadyClaimed(
                     claim=earlier,
@@ -102,7 +102,7 @@
             change=change, timeout_s=FORWARD_TIMEOUT_S, for_peer=True
         )
         match await self.claims.commit_for_peer(pending, FORWARD_TIMEOUT_S):
-            case Claimed():
+            case ClaimAcquired():
                 return KeyClaimReply(verdict=ClaimVerdict.DONE)
             case AlreadyClaimed(claim=earlier):
                 return KeyClaimReply(
--- a/src/auburnswitch/members/departures.py
+++ b/src/auburnswitch/members/departures.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
     from auburnswitch.members.view import MemberView
-    from auburnswitch.object_store.store import ObjectStore
+    from auburnswitch.object_store.client import ObjectStoreClient
     from auburnswitch.schema.objects import Member
 
 LIST_INTERVAL_S: Final = 2.0
@@ -47,7 +47,7 @@
         "view",
     )
 
-    def __init__(self, *, view: MemberView, store: ObjectStore) -> None:
+    def __init__(self, *, view: MemberView, store: ObjectStoreClient) -> None:
         self.view = view
         self.store = store
         self.former_ids: set[str] = set()
@@ -89,7 +89,7 @@
         now = monotonic_s()
         if not silent or now - self.asked_at < LIST_INTERVAL_S:
             return
-        match await self.store.instances():
+        match await self.store.list_instances():
             case Result(tag="ok", ok=instances):
                 self.listed = frozenset(item.name for item in instances)
                 self.asked_at = now
--- a/src/auburnswitch/members/entry_directory.py
+++ b/src/auburnswitch/members/entry_directory.py
@@ -7,14 +7,17 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform.names import DAEMONS_KIND
-from auburnswitch.platform.store import Conflict, StoreFailure
+from auburnswitch.platform.protocol import DAEMONS_KIND
+from auburnswitch.platform.store_client import Conflict, StoreFailure
 from auburnswitch.schema.base import SchemaError, from_json, to_json
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.gossip import DaemonRecord
 
 if TYPE_CHECKING:
-    from auburnswitch.platform.store import PlatformStore, StoredObject
+    from auburnswitch.platform.store_client import (
+        PlatformStoreClient,
+        StoredObject,
+    )
 
 KEY_NAME: Final = "peer-key"
 KEY_BYTES: Final = 32
@@ -33,7 +36,7 @@
 
     __slots__ = ("me", "store")
 
-    def __init__(self, *, me: DaemonRecord, store: PlatformStore) -> None:
+    def __init__(self, *, me: DaemonRecord, store: PlatformStoreClient) -> None:
         self.me = me
         self.store = store
 
--- a/src/auburnswitch/members/roster.py
+++ b/src/auburnswitch/members/roster.py
@@ -16,7 +16,7 @@
     RosterChange,
     changed_roster,
 )
-from auburnswitch.object_store.store import (
+from auburnswitch.object_store.client import (
     ABSENT,
     StoredObject,
     StoreUnavailable,
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from auburnswitch.members.departures import Departures
     from auburnswitch.members.view import MemberView
-    from auburnswitch.object_store.store import ObjectStore
+    from auburnswitch.object_store.client import ObjectStoreClient
 
 ROSTER_KEY: Final = CONFIG_PREFIX + "roster/default"
 CHECK_INTERVAL_S: Final = 0.5
@@ -81,7 +81,7 @@
     def __init__(
         self,
         *,
-        store: ObjectStore,
+        store: ObjectStoreClient,
         view: MemberView,
         departures: Departures,
         synced: asyncio.Event,
--- a/src/auburnswitch/object_store/call_limiter.py
+++ b/src/auburnswitch/object_store/call_limiter.py
@@ -27,7 +27,7 @@
     BACKGROUND = 3
 
 
-class RateBucket:
+class TokenBucket:
     """Allows a sustained rate of calls and one second's worth at once.
 
     Attributes:
@@ -61,7 +61,7 @@
         wait_s = max(missing_s, self.paused_until - now)
         return 0.0 if wait_s <= 0 else max(wait_s, _MIN_WAIT_S)
 
-    def take(self) -> None:
+    def consume(self) -> None:
         """Takes the token of one call."""
         self.tokens -= 1.0
 
@@ -83,7 +83,7 @@
 
     __slots__ = ("_numbers", "_timer", "_waiting", "bucket", "slots")
 
-    def __init__(self, *, bucket: RateBucket, slots: CallSlots) -> None:
+    def __init__(self, *, bucket: TokenBucket, slots: ConcurrencySlots) -> None:
         self.bucket = bucket
         self.slots = slots
         slots.listeners.append(self._admit)
@@ -109,12 +109,12 @@
                 await admitted
         except BaseException:
             if admitted.done() and not admitted.cancelled():
-                self.slots.free()
+                self.slots.release()
             raise
         try:
             yield
         finally:
-            self.slots.free()
+            self.slots.release()
 
     async def take_token(self, *, timeout_s: float) -> None:
         """Waits for a token alone, for a call that waits at the store.
@@ -131,15 +131,15 @@
             if admitted.done():
                 heapq.heappop(self._waiting)
                 continue
-            if not self.slots.is_free(priority):
+            if not self.slots.is_available(priority):
                 return  # a slot that is freed calls this again
             wait_s = self.bucket.wait_s()
             if wait_s > 0:
                 self._call_later(wait_s)
                 return
             heapq.heappop(self._waiting)
-            self.bucket.take()
-            self.slots.take()
+            self.bucket.consume()
+            self.slots.acquire()
             admitted.set_result(None)
 
     def _call_later(self, wait_s: float) -> None:
@@ -149,7 +149,7 @@
         self._timer = loop.call_later(wait_s, self._admit)
 
 
-class CallSlots:
+class ConcurrencySlots:
     """Calls in flight at one time.
 
     Attributes:
@@ -165,20 +165,20 @@
         self.used = 0
         self.listeners: list[Callable[[], None]] = []
 
-    def is_free(self, priority: int) -> bool:
+    def is_available(self, priority: int) -> bool:
         """Tells whether a call of a priority may take a slot."""
         kept = 0 if priority == CallPriority.CLAIM else RESERVED_SLOTS
         return self.used < max(1, self.count - kept)
 
-    def take(self) -> None:
+    def acquire(self) -> None:
         """Takes a slot."""
         self.used += 1
 
-    def free(self) -> None:
+    def release(self) -> None:
         """Frees a slot."""
         self.used -= 1
         for listener in self.listeners:
             listener()
 
 
-__all__ = ["CallLimiter", "CallPriority", "CallSlots", "RateBucket"]
+__all__ = ["CallLimiter", "CallPriority", "ConcurrencySlots", "TokenBucket"]
--- a/src/auburnswitch/object_store/breaker.py
+++ b/src/auburnswitch/object_store/circuit_breaker.py
@@ -10,53 +10,53 @@
     import random
 
 FAILURES_TO_OPEN: Final = 3
-FIRST_DELAY_S: Final = 0.25
-LONGEST_DELAY_S: Final = 2.0
+INITIAL_DELAY_S: Final = 0.25
+MAX_DELAY_S: Final = 2.0
 
 
-class Breaker:
+class CircuitBreaker:
     """Opens after failures in a row and lets one call through now and then.
 
     Attributes:
         failures: Failures since the last success.
-        next_try_at: Loop time of the next call that is let through, in
+        next_probe_at: Loop time of the next call that is let through, in
             seconds.
     """
 
-    __slots__ = ("delay_s", "failures", "next_try_at", "random")
+    __slots__ = ("delay_s", "failures", "next_probe_at", "rng")
 
     def __init__(self, *, random: random.Random) -> None:
-        self.random = random
+        self.rng = random
         self.failures = 0
-        self.delay_s = FIRST_DELAY_S
-        self.next_try_at = 0.0
+        self.delay_s = INITIAL_DELAY_S
+        self.next_probe_at = 0.0
 
     def wait_s(self) -> float:
         """Returns the time until a call is let through, 0 if it is now."""
         if self.failures < FAILURES_TO_OPEN:
             return 0.0
-        return max(0.0, self.next_try_at - monotonic_s())
+        return max(0.0, self.next_probe_at - monotonic_s())
 
-    def note_call(self) -> None:
+    def record_call(self) -> None:
         """Notes that a call is let through; others wait for its end."""
         if self.failures >= FAILURES_TO_OPEN:
             self._set_next_try()
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Notes an answer of the store."""
         self.failures = 0
-        self.delay_s = FIRST_DELAY_S
+        self.delay_s = INITIAL_DELAY_S
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Notes a call without an answer, or answered as an outage."""
         self.failures += 1
         if self.failures >= FAILURES_TO_OPEN:
             self._set_next_try()
-            self.delay_s = min(2 * self.delay_s, LONGEST_DELAY_S)
+            self.delay_s = min(2 * self.delay_s, MAX_DELAY_S)
 
     def _set_next_try(self) -> None:
-        delay_s = self.delay_s * self.random.uniform(0.5, 1.0)
-        self.next_try_at = monotonic_s() + delay_s
+        delay_s = self.delay_s * self.rng.uniform(0.5, 1.0)
+        self.next_probe_at = monotonic_s() + delay_s
 
 
-__all__ = ["Breaker"]
+__all__ = ["CircuitBreaker"]
--- a/src/auburnswitch/object_store/store.py
+++ b/src/auburnswitch/object_store/client.py
@@ -13,13 +13,13 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.http_client import send_once
-from auburnswitch.object_store.breaker import Breaker
 from auburnswitch.object_store.call_limiter import (
     CallLimiter,
     CallPriority,
-    CallSlots,
-    RateBucket,
+    ConcurrencySlots,
+    TokenBucket,
 )
+from auburnswitch.object_store.circuit_breaker import CircuitBreaker
 from auburnswitch.object_store.types import (
     ABSENT,
     Instance,
@@ -41,7 +41,7 @@
     from auburnswitch.schema.settings import PlatformSettings
 
 WATCH_GRACE_S: Final = 1.0
-CLAIM_SHARE: Final = 0.6  # of the fleet's writes
+CLAIM_WRITE_SHARE: Final = 0.6  # of the fleet's writes
 
 
 @dataclass(slots=True, kw_only=True)
@@ -51,7 +51,7 @@
     headers: Any = field(default_factory=dict)
 
 
-class ObjectStore:
+class ObjectStoreClient:
     """Calls the platform's object API.
 
     Calls are bounded in number and rate, so that the whole fleet stays under
@@ -62,7 +62,7 @@
         settings: Address and bounds of the calls.
         session: HTTP session the calls go through.
         member_count: Returns how many daemons share the store's limits.
-        calls: Calls made so far.
+        call_count: Calls made so far.
         last_success_at: Loop time of the last answer, in seconds.
         breaker: Keeps calls from a store that does not answer.
         reads: Bounds the reads.
@@ -73,12 +73,12 @@
 
     __slots__ = (
         "breaker",
-        "calls",
+        "call_count",
         "claim_writes",
         "last_success_at",
         "member_count",
-        "random",
         "reads",
+        "rng",
         "session",
         "settings",
         "writes",
@@ -95,19 +95,19 @@
         self.settings = settings
         self.session = session
         self.member_count = member_count
-        self.calls = 0
+        self.call_count = 0
         self.last_success_at = float("-inf")
-        self.random = random.Random(seed)
-        self.breaker = Breaker(random=self.random)
-        slots = CallSlots(count=settings.max_concurrency)
+        self.rng = random.Random(seed)
+        self.breaker = CircuitBreaker(random=self.rng)
+        slots = ConcurrencySlots(count=settings.max_concurrency)
         self.reads = CallLimiter(
-            bucket=RateBucket(rate=self._read_rate), slots=slots
+            bucket=TokenBucket(rate=self._read_rate), slots=slots
         )
         self.writes = CallLimiter(
-            bucket=RateBucket(rate=self._write_rate), slots=slots
+            bucket=TokenBucket(rate=self._write_rate), slots=slots
         )
         self.claim_writes = CallLimiter(
-            bucket=RateBucket(rate=self._claim_write_rate), slots=slots
+            bucket=TokenBucket(rate=self._claim_write_rate), slots=slots
         )
 
     def _read_rate(self) -> float:
@@ -115,16 +115,18 @@
         return min(self.settings.calls_per_second, share)
 
     def _write_rate(self) -> float:
-        others = self.settings.fleet_writes_per_second * (1 - CLAIM_SHARE)
+        others = self.settings.fleet_writes_per_second * (1 - CLAIM_WRITE_SHARE)
         share = others / self.member_count()
         return min(self.settings.calls_per_second, share)
 
     def _claim_write_rate(self) -> float:
-        return min(self.settings.calls_per_second, self.fleet_claim_writes())
+        return min(
+            self.settings.calls_per_second, self.fleet_claim_writes_per_second()
+        )
 
-    def fleet_claim_writes(self) -> float:
+    def fleet_claim_writes_per_second(self) -> float:
         """Returns the writes of claims allowed to the fleet per second."""
-        return self.settings.fleet_writes_per_second * CLAIM_SHARE
+        return self.settings.fleet_writes_per_second * CLAIM_WRITE_SHARE
 
     def size_bytes(self, value: Any) -> int:
         """Returns the size at which the store would count a value."""
@@ -260,7 +262,7 @@
             case error:
                 return Error(error)
 
-    async def instances(self) -> Result[list[Instance], StoreUnavailable]:
+    async def list_instances(self) -> Result[list[Instance], StoreUnavailable]:
         """Reads the platform's lagging list of instances."""
         match await self._call("GET", "/instances", CallPriority.BACKGROUND):
             case _Reply(status=200, body=body):
@@ -319,18 +321,18 @@
         limiter: CallLimiter,
         **options: Any,
     ) -> _Reply | StoreUnavailable:
-        self.calls += 1
-        self.breaker.note_call()
+        self.call_count += 1
+        self.breaker.record_call()
         reply = await self._exchange(method, path, timeout_s, **options)
         match reply:
             case _Reply(status=429):
-                limiter.bucket.pause(self.random.uniform(0.1, 1.0))
-                self.breaker.note_success()
+                limiter.bucket.pause(self.rng.uniform(0.1, 1.0))
+                self.breaker.record_success()
             case _Reply(status=status) if status < 500:
-                self.breaker.note_success()
+                self.breaker.record_success()
                 self.last_success_at = monotonic_s()
             case _:
-                self.breaker.note_failure()
+                self.breaker.record_failure()
         return reply
 
     async def _exchange(
@@ -405,7 +407,7 @@
     "CallPriority",
     "Instance",
     "Listing",
-    "ObjectStore",
+    "ObjectStoreClient",
     "RevisionExpired",
     "StoreError",
     "StoreUnavailable",
--- a/src/auburnswitch/object_store/watcher.py
+++ b/src/auburnswitch/object_store/watcher.py
@@ -9,7 +9,7 @@
 from expression import Result
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.object_store.store import (
+from auburnswitch.object_store.client import (
     RevisionExpired,
     StoredObject,
     StoreUnavailable,
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from auburnswitch.object_store.store import ObjectStore, WatchBatch
+    from auburnswitch.object_store.client import ObjectStoreClient, WatchBatch
 
 CONFIG_PREFIX: Final = "config/"
-FIRST_DELAY_S: Final = 0.2
-LONGEST_DELAY_S: Final = 3.0
-SHORTEST_WATCH_S: Final = 0.5
+INITIAL_DELAY_S: Final = 0.2
+MAX_DELAY_S: Final = 3.0
+MIN_WATCH_S: Final = 0.5
 
 
 class StoreWatcher:
@@ -44,17 +44,17 @@
     __slots__ = (
         "available",
         "handlers",
-        "random",
         "read_at",
         "revision",
+        "rng",
         "store",
         "synced",
     )
 
-    def __init__(self, *, store: ObjectStore, seed: int) -> None:
+    def __init__(self, *, store: ObjectStoreClient, seed: int) -> None:
         self.store = store
         self.handlers: dict[str, Callable[[StoredObject], None]] = {}
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.revision: int | None = None
         self.synced = asyncio.Event()
         self.available = True
@@ -65,13 +65,13 @@
 
         Backs off while the store is down and when watches end at once.
         """
-        delay_s = FIRST_DELAY_S
+        delay_s = INITIAL_DELAY_S
         while True:
             if await self._step():
-                delay_s = FIRST_DELAY_S
+                delay_s = INITIAL_DELAY_S
                 continue
-            await asyncio.sleep(delay_s * self.random.uniform(0.5, 1.0))
-            delay_s = min(2 * delay_s, LONGEST_DELAY_S)
+            await asyncio.sleep(delay_s * self.rng.uniform(0.5, 1.0))
+            delay_s = min(2 * delay_s, MAX_DELAY_S)
 
     async def refresh(self) -> None:
         """Brings the objects up to date without waiting for a change."""
@@ -104,7 +104,7 @@
             case Result(tag="ok", ok=batch):
                 self._take(batch)
                 waited_s = monotonic_s() - asked_at
-                return bool(batch.events) or waited_s >= SHORTEST_WATCH_S
+                return bool(batch.events) or waited_s >= MIN_WATCH_S
             case Result(error=RevisionExpired()):
                 self.revision = None
                 return False
--- a/src/auburnswitch/operators/check.py
+++ b/src/auburnswitch/operators/check.py
@@ -158,9 +158,9 @@
     accepted.
     """
     changed = {(c.kind, c.name) for c in ticket.changes}
-    for name, reason in after.dangling.items():
+    for name, reason in after.dangling_endpoints.items():
         touched = (ObjectKind.ENDPOINT, name) in changed
-        if touched or name not in before.dangling:
+        if touched or name not in before.dangling_endpoints:
             yield f"endpoint {name!r}: {reason}"
     for name, service in after.services.items():
         touched = (ObjectKind.SERVICE, name) in changed
@@ -178,7 +178,7 @@
 def _find_warnings(
     ticket: Ticket, before: ConfigState, after: ConfigState
 ) -> Iterator[str]:
-    for name, reason in after.dangling.items():
+    for name, reason in after.dangling_endpoints.items():
         yield f"endpoint {name!r} is left out: {reason}"
     for name in after.services:
         if not after.endpoints_of(name):
--- a/src/auburnswitch/platform/endpoint_calls.py
+++ b/src/auburnswitch/platform/endpoint_client.py
@@ -14,9 +14,9 @@
     HttpExchange,
     open_exchange,
 )
-from auburnswitch.platform import fields, names
+from auburnswitch.platform import fields, protocol
 from auburnswitch.platform.fields import FieldError
-from auburnswitch.platform.requests import HOP_HEADERS
+from auburnswitch.platform.requests import HOP_BY_HOP_HEADERS
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class NotSent:
+class RequestNotSent:
     """No byte of the request reached the endpoint.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class NotRun:
+class RequestNotExecuted:
     """The endpoint says that it did not run the request.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Broken:
+class BrokenResponse:
     """The connection broke, or the answer is not one to this request.
 
     Attributes:
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class AnswerHead:
+class ResponseHead:
     """Start of an endpoint's answer to this request.
 
     Attributes:
@@ -89,19 +89,19 @@
         """Whether the status is one of success."""
         return _HTTP_OK <= self.status < _HTTP_MULTIPLE_CHOICES
 
-    async def read_chunk(self) -> bytes | Broken:
+    async def read_chunk(self) -> bytes | BrokenResponse:
         """Returns the next bytes of the body, none at its complete end."""
         try:
             return await self.exchange.read_part()
         except ExchangeError as error:
-            return Broken(reason=str(error))
+            return BrokenResponse(reason=str(error))
 
-    async def read_all(self) -> bytes | Broken:
+    async def read_all(self) -> bytes | BrokenResponse:
         """Returns the whole body."""
         try:
             return await self.exchange.read_all()
         except ExchangeError as error:
-            return Broken(reason=str(error))
+            return BrokenResponse(reason=str(error))
 
 
 @dataclass(slots=True, kw_only=True)
@@ -127,7 +127,7 @@
     slowdown: float
 
 
-class EndpointCalls:
+class PlatformEndpointClient:
     """Sends requests to endpoints, each on a connection of its own.
 
     A connection serves one request only, so that late or surplus bytes of an
@@ -144,7 +144,9 @@
         endpoint: EndpointEntry,
         headers: Headers,
         body: bytes,
-    ) -> AsyncIterator[AnswerHead | NotSent | NotRun | Broken]:
+    ) -> AsyncIterator[
+        ResponseHead | RequestNotSent | RequestNotExecuted | BrokenResponse
+    ]:
         """Sends a request and yields the start of its answer.
 
         The connection is closed at the end of the context, which makes the
@@ -161,9 +163,9 @@
                 )
                 head = await exchange.read_head()
             except ConnectError as error:
-                outcome = NotSent(reason=str(error))
+                outcome = RequestNotSent(reason=str(error))
             except ExchangeError as error:
-                outcome = Broken(reason=str(error))
+                outcome = BrokenResponse(reason=str(error))
             else:
                 outcome = _classify(request, head, exchange)
             yield outcome
@@ -182,7 +184,7 @@
     async def report(self, endpoint: EndpointEntry) -> LoadReport | None:
         """Asks an engine for its load; None if there is no usable answer."""
         try:
-            reply = await _call(endpoint, "GET", names.REPORT_PATH)
+            reply = await _call(endpoint, "GET", protocol.REPORT_PATH)
             data = json.loads(reply.body)
             return LoadReport(
                 requests=fields.integer(data, "Running", 0)
@@ -198,7 +200,7 @@
     ) -> bool:
         body = json.dumps(order).encode()
         try:
-            reply = await _call(endpoint, "POST", names.ORDER_PATH, body)
+            reply = await _call(endpoint, "POST", protocol.ORDER_PATH, body)
         except _CALL_ERRORS:
             return False  # the caller treats it like a refusal
         return reply.status == _HTTP_OK
@@ -216,7 +218,7 @@
     endpoint: EndpointEntry, method: str, path: str, body: bytes = b""
 ) -> _Reply:
     """Makes a call of this daemon's own and reads the whole answer."""
-    headers = [(names.EXPECTED_ENDPOINT, endpoint.id)]
+    headers = [(protocol.EXPECTED_ENDPOINT_HEADER, endpoint.id)]
     if body:
         headers.append(_JSON)
     async with asyncio.timeout(CONNECT_TIMEOUT_S), _open(endpoint) as exchange:
@@ -227,36 +229,36 @@
 
 def _classify(
     request: CallerRequest, head: h11.Response, exchange: HttpExchange
-) -> AnswerHead | NotRun | Broken:
+) -> ResponseHead | RequestNotExecuted | BrokenResponse:
     received = [
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in head.headers
     ]
     headers = dict(reversed(received))  # the first of a name counts
     status = head.status_code
-    if names.NOT_RUN in headers or status == _HTTP_MISDIRECTED:
-        return NotRun(
+    if protocol.NOT_EXECUTED_HEADER in headers or status == _HTTP_MISDIRECTED:
+        return RequestNotExecuted(
             status=status,
-            failed_address=headers.get(names.FAILED_ENDPOINT, ""),
+            failed_address=headers.get(protocol.FAILED_ENDPOINT_HEADER, ""),
         )
-    if headers.get(names.ATTEMPT_ID) != request.id:
-        return Broken(reason="the answer is for another request")
-    if names.SIGNATURE not in headers:
-        return Broken(reason="the answer is not signed")
+    if headers.get(protocol.ATTEMPT_ID_HEADER) != request.id:
+        return BrokenResponse(reason="the answer is for another request")
+    if protocol.SIGNATURE_HEADER not in headers:
+        return BrokenResponse(reason="the answer is not signed")
     if "content-encoding" in headers:
-        return Broken(reason="the answer is encoded")
-    return AnswerHead(
+        return BrokenResponse(reason="the answer is encoded")
+    return ResponseHead(
         status=status,
-        headers=[(n, v) for n, v in received if n not in HOP_HEADERS],
+        headers=[(n, v) for n, v in received if n not in HOP_BY_HOP_HEADERS],
         exchange=exchange,
     )
 
 
 __all__ = [
-    "AnswerHead",
-    "Broken",
-    "EndpointCalls",
+    "ResponseHead",
+    "BrokenResponse",
+    "PlatformEndpointClient",
     "LoadReport",
-    "NotRun",
-    "NotSent",
+    "RequestNotExecuted",
+    "RequestNotSent",
 ]
--- /dev/null
+++ b/src/auburnswitch/platform/protocol.py
@@ -0,0 +1,65 @@
+"""Headers and paths of the platform's protocol."""
+
+from __future__ import annotations
+
+from typing import Final
+
+ATTEMPT_ID_HEADER: Final = "x-attempt-id"  # one for each attempt of the caller
+DEADLINE_MS_HEADER: Final = "x-deadline-ms"  # time that the caller still waits
+EXPECTED_ENDPOINT_HEADER: Final = "x-expect-instance"
+ENDPOINT_ID_HEADER: Final = "x-instance-id"
+TEAM_HEADER: Final = "x-tenant"
+SIGNATURE_HEADER: Final = (
+    "x-response-seal"  # on each answer that an endpoint made
+)
+NOT_EXECUTED_HEADER: Final = "x-not-executed"
+TOKEN_COUNTS_HEADER: Final = (
+    "x-token-counts"  # prompt tokens, most answer tokens
+)
+LENGTH_HINT_HEADER: Final = (
+    "x-length-hint"  # the caller's guess of answer tokens
+)
+PREFILL_HELPERS_HEADER: Final = "x-helpers"
+LAST_EVENT_ID_HEADER: Final = "last-event-id"
+AUTHORIZATION_HEADER: Final = "authorization"
+BEARER_PREFIX: Final = "bearer "
+FAILED_ENDPOINT_HEADER: Final = "at-server"
+RETRY_AFTER_HEADER: Final = "retry-after"
+
+READINESS_PATH: Final = "/v1/readiness"
+ORDER_PATH: Final = "/v1/order"
+REPORT_PATH: Final = "/v1/report"
+OBJECTS_PATH: Final = "/v1/objects"
+
+CONFIG_KIND: Final = "config"
+CONFIG_NAME: Final = "main"
+ENDPOINTS_KIND: Final = "servers"
+CLOSED_ZONES_KIND: Final = "evacuations"
+DAEMONS_KIND: Final = "auburnswitch-daemons"
+
+__all__ = [
+    "ATTEMPT_ID_HEADER",
+    "AUTHORIZATION_HEADER",
+    "BEARER_PREFIX",
+    "CLOSED_ZONES_KIND",
+    "CONFIG_KIND",
+    "CONFIG_NAME",
+    "DAEMONS_KIND",
+    "DEADLINE_MS_HEADER",
+    "ENDPOINTS_KIND",
+    "ENDPOINT_ID_HEADER",
+    "EXPECTED_ENDPOINT_HEADER",
+    "FAILED_ENDPOINT_HEADER",
+    "LAST_EVENT_ID_HEADER",
+    "LENGTH_HINT_HEADER",
+    "NOT_EXECUTED_HEADER",
+    "OBJECTS_PATH",
+    "ORDER_PATH",
+    "READINESS_PATH",
+    "PREFILL_HELPERS_HEADER",
+    "REPORT_PATH",
+    "RETRY_AFTER_HEADER",
+    "SIGNATURE_HEADER",
+    "TEAM_HEADER",
+    "TOKEN_COUNTS_HEADER",
+]
--- a/src/auburnswitch/platform/requests.py
+++ b/src/auburnswitch/platform/requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.platform import names
+from auburnswitch.platform import protocol
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -13,7 +13,7 @@
     from auburnswitch.schema.installation import EndpointEntry
 
 # Headers that concern one connection only.
-HOP_HEADERS: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         "connection",
         "keep-alive",
@@ -29,12 +29,12 @@
 )
 _SET_HERE: Final = frozenset(
     {
-        names.DEADLINE,
-        names.EXPECTED_ENDPOINT,
-        names.TEAM,
-        names.READ_HELPERS,
-        names.AUTHORIZATION,
-        names.LAST_EVENT_ID,
+        protocol.DEADLINE_MS_HEADER,
+        protocol.EXPECTED_ENDPOINT_HEADER,
+        protocol.TEAM_HEADER,
+        protocol.PREFILL_HELPERS_HEADER,
+        protocol.AUTHORIZATION_HEADER,
+        protocol.LAST_EVENT_ID_HEADER,
         "content-length",
     }
 )
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class ReadHelper:
+class PrefillHelper:
     """An endpoint that reads a part of a prompt.
 
     Attributes:
@@ -94,25 +94,27 @@
     """Decodes a caller's request; header names are in lower case."""
     known = dict(headers)
     path = raw_path.decode("latin-1")
-    prompt_tokens, most_tokens = _token_counts(known.get(names.TOKEN_COUNTS))
-    hint = _whole(known.get(names.LENGTH_HINT, ""))
+    prompt_tokens, most_tokens = _token_counts(
+        known.get(protocol.TOKEN_COUNTS_HEADER)
+    )
+    hint = _whole(known.get(protocol.LENGTH_HINT_HEADER, ""))
     return CallerRequest(
-        id=known.get(names.ATTEMPT_ID, ""),
+        id=known.get(protocol.ATTEMPT_ID_HEADER, ""),
         method=method,
         target=path + ("?" + query.decode("latin-1") if query else ""),
         path=path,
         host=_host(known.get("host", "")),
         headers=_passed_on(headers),
-        caller_key=_caller_key(known.get(names.AUTHORIZATION, "")),
-        deadline_s=_seconds(known.get(names.DEADLINE)),
+        caller_key=_caller_key(known.get(protocol.AUTHORIZATION_HEADER, "")),
+        deadline_s=_seconds(known.get(protocol.DEADLINE_MS_HEADER)),
         prompt_tokens=prompt_tokens,
         answer_tokens=min(hint or most_tokens, most_tokens or hint),
-        last_event_id=known.get(names.LAST_EVENT_ID),
+        last_event_id=known.get(protocol.LAST_EVENT_ID_HEADER),
     )
 
 
 def _passed_on(headers: Headers) -> Headers:
-    left_out = HOP_HEADERS | _SET_HERE
+    left_out = HOP_BY_HOP_HEADERS | _SET_HERE
     for name, value in headers:
         if name == "connection":
             left_out = left_out | {
@@ -126,9 +128,9 @@
 
 
 def _caller_key(value: str) -> str:
-    if not value.lower().startswith(names.BEARER):
+    if not value.lower().startswith(protocol.BEARER_PREFIX):
         return ""
-    return value[len(names.BEARER) :].strip()
+    return value[len(protocol.BEARER_PREFIX) :].strip()
 
 
 def _seconds(value: str | None) -> float | None:
@@ -156,7 +158,7 @@
     endpoint: EndpointEntry,
     team: str,
     time_left_s: float,
-    helpers: Sequence[ReadHelper] = (),
+    helpers: Sequence[PrefillHelper] = (),
     last_event_id: str | None = None,
 ) -> Headers:
     """Returns the headers with which a request is sent to an endpoint.
@@ -171,20 +173,23 @@
     """
     headers = [
         *request.headers,
-        (names.EXPECTED_ENDPOINT, endpoint.id),
-        (names.DEADLINE, str(max(1, int(time_left_s * _MS_PER_S)))),
+        (protocol.EXPECTED_ENDPOINT_HEADER, endpoint.id),
+        (
+            protocol.DEADLINE_MS_HEADER,
+            str(max(1, int(time_left_s * _MS_PER_S))),
+        ),
     ]
     if team:
-        headers.append((names.TEAM, team))
+        headers.append((protocol.TEAM_HEADER, team))
     if helpers:
         listed = ",".join(_helper(helper) for helper in helpers)
-        headers.append((names.READ_HELPERS, listed))
+        headers.append((protocol.PREFILL_HELPERS_HEADER, listed))
     if last_event_id is not None:
-        headers.append((names.LAST_EVENT_ID, last_event_id))
+        headers.append((protocol.LAST_EVENT_ID_HEADER, last_event_id))
     return headers
 
 
-def _helper(helper: ReadHelper) -> str:
+def _helper(helper: PrefillHelper) -> str:
     address = f"{helper.endpoint.host}:{helper.endpoint.port}"
     if helper.reservation is None:
         return address
@@ -192,10 +197,10 @@
 
 
 __all__ = [
-    "HOP_HEADERS",
+    "HOP_BY_HOP_HEADERS",
     "CallerRequest",
     "Headers",
-    "ReadHelper",
+    "PrefillHelper",
     "decode_request",
     "encode_request_headers",
 ]
--- a/src/auburnswitch/platform/store.py
+++ b/src/auburnswitch/platform/store_client.py
@@ -12,7 +12,7 @@
     ExchangeError,
     open_exchange,
 )
-from auburnswitch.platform.names import OBJECTS_PATH
+from auburnswitch.platform.protocol import OBJECTS_PATH
 
 if TYPE_CHECKING:
     from auburnswitch.schema.entry import StoreSettings
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class HistoryGone:
+class RevisionExpired:
     """The store no longer has the history that a watch asked for."""
 
 
@@ -75,18 +75,18 @@
     reason: str
 
 
-class PlatformStore:
+class PlatformStoreClient:
     """Calls the store, each call on its own and never repeated here.
 
     Attributes:
-        calls: Calls made so far.
+        call_count: Calls made so far.
     """
 
-    __slots__ = ("calls", "settings")
+    __slots__ = ("call_count", "settings")
 
     def __init__(self, *, settings: StoreSettings) -> None:
         self.settings = settings
-        self.calls = 0
+        self.call_count = 0
 
     async def list_kind(self, kind: str) -> Listing | StoreFailure:
         """Reads all objects of a kind, page by page."""
@@ -109,7 +109,7 @@
 
     async def watch(
         self, kind: str, revision: int
-    ) -> Listing | HistoryGone | StoreFailure:
+    ) -> Listing | RevisionExpired | StoreFailure:
         """Waits for changes of a kind after a revision.
 
         Returns:
@@ -122,7 +122,7 @@
             case StoreFailure():
                 return answer
             case (status, _) if status == _HTTP_GONE:
-                return HistoryGone()
+                return RevisionExpired()
             case (status, body) if status == _HTTP_OK:
                 return Listing(
                     revision=int(body.get("AsOf", revision)),
@@ -168,7 +168,7 @@
     async def _call(
         self, method: str, path: str, *, data: Any = None, wait_s: float = 0
     ) -> tuple[int, dict[str, Any]] | StoreFailure:
-        self.calls += 1
+        self.call_count += 1
         host, _, port = self.settings.address.rpartition(":")
         body = b"" if data is None else json.dumps(data).encode()
         try:
@@ -227,9 +227,9 @@
 
 __all__ = [
     "Conflict",
-    "HistoryGone",
+    "RevisionExpired",
     "Listing",
-    "PlatformStore",
+    "PlatformStoreClient",
     "StoreFailure",
     "StoredObject",
 ]
--- a/src/auburnswitch/routing/attempt.py
+++ b/src/auburnswitch/routing/attempt.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.platform.endpoint_calls import (
-    AnswerHead,
-    Broken,
-    NotRun,
-    NotSent,
+from auburnswitch.platform.endpoint_client import (
+    BrokenResponse,
+    RequestNotExecuted,
+    RequestNotSent,
+    ResponseHead,
 )
 from auburnswitch.platform.requests import encode_request_headers
 from auburnswitch.routing.outcomes import AttemptFailed, Delivered
@@ -19,8 +19,8 @@
 
 if TYPE_CHECKING:
     from auburnswitch.observe.statistics import EntryStatistics
-    from auburnswitch.platform.endpoint_calls import EndpointCalls
-    from auburnswitch.platform.requests import ReadHelper
+    from auburnswitch.platform.endpoint_client import PlatformEndpointClient
+    from auburnswitch.platform.requests import PrefillHelper
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
     from auburnswitch.routing.outcomes import AnswerWriter, DeliveryProgress
@@ -67,7 +67,7 @@
         self.progress = progress
 
     async def run(
-        self, helpers: list[ReadHelper], calls: EndpointCalls
+        self, helpers: list[PrefillHelper], calls: PlatformEndpointClient
     ) -> Delivered | AttemptFailed:
         """Sends the request and relays the answer."""
         job, placement = self.job, self.placement
@@ -94,7 +94,7 @@
                 ) as answer,
             ):
                 match answer:
-                    case NotSent(reason=reason):
+                    case RequestNotSent(reason=reason):
                         progress.may_have_run = was_unsure
                         return AttemptFailed(
                             reason=reason,
@@ -102,7 +102,9 @@
                             sent=False,
                             failed_to_connect=True,
                         )
-                    case NotRun(status=status, failed_address=address):
+                    case RequestNotExecuted(
+                        status=status, failed_address=address
+                    ):
                         progress.may_have_run = was_unsure
                         return AttemptFailed(
                             reason=f"not run, {status}",
@@ -111,7 +113,7 @@
                                 address
                             ),
                         )
-                    case Broken(reason=reason):
+                    case BrokenResponse(reason=reason):
                         return AttemptFailed(
                             reason=reason, may_have_run=True, cut=True
                         )
@@ -132,10 +134,10 @@
             return AttemptFailed(reason="silent endpoint", may_have_run=True)
 
     async def _relay_whole(
-        self, answer: AnswerHead
+        self, answer: ResponseHead
     ) -> Delivered | AttemptFailed:
         body = await answer.read_all()
-        if isinstance(body, Broken):
+        if isinstance(body, BrokenResponse):
             return AttemptFailed(reason=body.reason, may_have_run=True)
         failed = answer.status >= _HTTP_SERVER_ERROR
         if self.writer.started or (failed and self.job.repeatable):
--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform.endpoint_calls import AnswerHead
+from auburnswitch.platform.endpoint_client import ResponseHead
 from auburnswitch.routing.attempt import Attempt
 from auburnswitch.routing.endpoint_health import HARD_FAILURE, SOFT_FAILURE
 from auburnswitch.routing.joint_memory import MemoryRefused
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from auburnswitch.observe.statistics import EntryStatistics
-    from auburnswitch.platform.endpoint_calls import EndpointCalls
+    from auburnswitch.platform.endpoint_client import PlatformEndpointClient
     from auburnswitch.routing.crash_record import CrashRecord
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
@@ -50,7 +50,7 @@
         self,
         *,
         chooser: EndpointChooser,
-        calls: EndpointCalls,
+        calls: PlatformEndpointClient,
         budget: WindowBudget,
         memory: JointMemory,
         crashes: CrashRecord,
@@ -203,7 +203,7 @@
             case AttemptFailed(sent=True, may_have_run=False, reason=reason):
                 self.chooser.load.by_endpoint[endpoint].note_full()
                 health.note_failure(endpoint, reason, SOFT_FAILURE)
-            case AttemptFailed(head=AnswerHead()):
+            case AttemptFailed(head=ResponseHead()):
                 health.note_failure(endpoint, outcome.reason, SOFT_FAILURE)
             case (
                 AttemptFailed(sent=True, reason=reason)
--- a/src/auburnswitch/routing/joint_memory.py
+++ b/src/auburnswitch/routing/joint_memory.py
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform.requests import ReadHelper
+from auburnswitch.platform.requests import PrefillHelper
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from auburnswitch.platform.endpoint_calls import EndpointCalls
+    from auburnswitch.platform.endpoint_client import PlatformEndpointClient
     from auburnswitch.routing.endpoint_choice import Placement
     from auburnswitch.schema.installation import EndpointEntry
 
@@ -46,7 +46,7 @@
 
     __slots__ = ("_number", "calls", "prefix", "releasing")
 
-    def __init__(self, *, calls: EndpointCalls, prefix: str) -> None:
+    def __init__(self, *, calls: PlatformEndpointClient, prefix: str) -> None:
         self.calls = calls
         self.prefix = prefix
         self.releasing: set[asyncio.Task[None]] = set()
@@ -55,7 +55,7 @@
     @contextlib.asynccontextmanager
     async def reserve(
         self, request_id: str, placement: Placement
-    ) -> AsyncIterator[list[ReadHelper] | MemoryRefused]:
+    ) -> AsyncIterator[list[PrefillHelper] | MemoryRefused]:
         """Reserves a placement's memory until the context ends.
 
         Yields:
@@ -64,7 +64,7 @@
         """
         holders = [known.entry for known in placement.holders()]
         readers = [
-            ReadHelper(endpoint=known.entry)
+            PrefillHelper(endpoint=known.entry)
             for known in placement.helpers[len(holders) :]
         ]
         if not holders:
@@ -89,7 +89,7 @@
             renewing = asyncio.create_task(self._renew(holders, key, tokens))
             try:
                 held = [
-                    ReadHelper(endpoint=endpoint, reservation=key)
+                    PrefillHelper(endpoint=endpoint, reservation=key)
                     for endpoint in holders
                 ]
                 yield [*held, *readers]
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -22,7 +22,7 @@
         Installation,
         KnownEndpoint,
     )
-    from auburnswitch.platform.endpoint_calls import EndpointCalls
+    from auburnswitch.platform.endpoint_client import PlatformEndpointClient
     from auburnswitch.routing.fleet_load import FleetLoad
 
 INTERVAL_S: Final = 2.0
@@ -66,7 +66,7 @@
         *,
         installation: Installation,
         load: FleetLoad,
-        calls: EndpointCalls,
+        calls: PlatformEndpointClient,
         me: str,
         live_daemons: Callable[[], Iterable[str]],
         tell: Callable[[list[EngineReport]], None],
--- a/src/auburnswitch/routing/outcomes.py
+++ b/src/auburnswitch/routing/outcomes.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
-    from auburnswitch.platform.endpoint_calls import AnswerHead
+    from auburnswitch.platform.endpoint_client import ResponseHead
     from auburnswitch.platform.requests import Headers
 
 
@@ -85,7 +85,7 @@
     cut: bool = False
     failed_to_connect: bool = False
     failed_endpoint: str | None = None
-    head: AnswerHead | None = None
+    head: ResponseHead | None = None
     body: bytes = b""
 
     @property
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.claims.claims import (
+from auburnswitch.claims.claim_store import (
     AlreadyClaimed,
-    Claimed,
+    ClaimAcquired,
     ClaimStore,
     ClaimUnavailable,
     hash_key,
@@ -138,7 +138,7 @@
         match await self.claims.claim(
             key_hash, call.digest(), time_left_s=left_s
         ):
-            case Claimed(claim=claim):
+            case ClaimAcquired(claim=claim):
                 return await self._run_claimed(request, call, claim)
             case AlreadyClaimed() as earlier:
                 return self._earlier_outcome(earlier)
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -6,7 +6,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform.endpoint_calls import Broken
+from auburnswitch.platform.endpoint_client import BrokenResponse
 from auburnswitch.routing.event_relay import EventSplitter, event_id, is_newer
 from auburnswitch.routing.outcomes import AttemptFailed, Delivered
 from auburnswitch.schema.events import EventId
@@ -15,7 +15,7 @@
     import asyncio
 
     from auburnswitch.observe.statistics import EntryStatistics
-    from auburnswitch.platform.endpoint_calls import AnswerHead
+    from auburnswitch.platform.endpoint_client import ResponseHead
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_choice import EndpointChooser, Placement
     from auburnswitch.routing.outcomes import AnswerWriter, DeliveryProgress
@@ -71,11 +71,11 @@
         self.waits = waits
         self.splitter = EventSplitter()
 
-    async def run(self, answer: AnswerHead) -> Delivered | AttemptFailed:
+    async def run(self, answer: ResponseHead) -> Delivered | AttemptFailed:
         """Relays until the stream ends or breaks."""
         while True:
             data = await answer.read_chunk()
-            if isinstance(data, Broken):
+            if isinstance(data, BrokenResponse):
                 return AttemptFailed(
                     reason=data.reason, may_have_run=True, cut=True
                 )
@@ -90,7 +90,7 @@
         await self.writer.finish()
         return Delivered(status=answer.status)
 
-    async def _pass_on(self, answer: AnswerHead, events: list[bytes]) -> None:
+    async def _pass_on(self, answer: ResponseHead, events: list[bytes]) -> None:
         gap_s = self.waits.gap_s()
         when = None if gap_s is None else monotonic_s() + gap_s
         self.timer.reschedule(when)
@@ -116,7 +116,7 @@
             after_ms=round(after_s * 1000, 1),
         )
 
-    async def _start(self, answer: AnswerHead) -> None:
+    async def _start(self, answer: ResponseHead) -> None:
         if not self.writer.started:
             await self.writer.start(answer.status, answer.headers)
 
--- a/src/auburnswitch/soak/run.py
+++ b/src/auburnswitch/soak/run.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from auburnswitch.platform.names import READINESS_PATH
+from auburnswitch.platform.protocol import READINESS_PATH
 from auburnswitch.soak.callers import (
     NOT_RUN,
     OK,
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claim_store.py
@@ -7,17 +7,17 @@
 import random
 import unittest
 
-from auburnswitch.claims.claims import (
+from auburnswitch.claims.claim_store import (
     AlreadyClaimed,
-    Claimed,
+    ClaimAcquired,
     ClaimStore,
     ClaimUnavailable,
     hash_key,
 )
-from auburnswitch.claims.shard import AddClaim, first_shard
-from auburnswitch.claims.writer import PendingChange
+from auburnswitch.claims.shard import AddClaim, initial_shard_index
+from auburnswitch.claims.shard_writer import PendingChange
 from auburnswitch.clock import WallClock
-from auburnswitch.object_store.store import ObjectStore, VersionConflict
+from auburnswitch.object_store.client import ObjectStoreClient, VersionConflict
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.settings import PlatformSettings
 from auburnswitch.standins.platform import open_platform
@@ -38,7 +38,7 @@
             session = await stack.enter_async_context(open_session())
             values = PlatformSettings(url=platform.url, **settings)
             claims = ClaimStore(
-                store=ObjectStore(
+                store=ObjectStoreClient(
                     settings=values,
                     session=session,
                     member_count=lambda: members,
@@ -73,7 +73,7 @@
                 return kinds, platform.calls["put"] - before
 
         kinds, writes = run_virtual(scenario)
-        self.assertEqual(kinds, {Claimed})
+        self.assertEqual(kinds, {ClaimAcquired})
         self.assertLessEqual(writes, 12)
 
     def test_large_fleet_does_not_starve_the_committing_daemon(self):
@@ -90,7 +90,7 @@
                 return kinds, platform.calls["put"] / now
 
         kinds, writes_per_second = run_virtual(scenario)
-        self.assertEqual(kinds, {Claimed})
+        self.assertEqual(kinds, {ClaimAcquired})
         self.assertLess(writes_per_second, 150)
 
     def test_daemons_with_other_settings_agree_on_the_shards(self):
@@ -119,7 +119,9 @@
                 value = platform.store.objects["claims/0000"].value
                 return type(kept), type(expired), len(value["claims"])
 
-        self.assertEqual(run_virtual(scenario), (AlreadyClaimed, Claimed, 1))
+        self.assertEqual(
+            run_virtual(scenario), (AlreadyClaimed, ClaimAcquired, 1)
+        )
 
     def test_drop_belongs_to_the_owner_of_the_nonce(self):
         async def scenario():
@@ -184,7 +186,7 @@
             kinds, shards, largest = run_virtual(
                 lambda count=count: scenario(count)
             )
-            self.assertEqual(kinds, ({Claimed}, {AlreadyClaimed}))
+            self.assertEqual(kinds, ({ClaimAcquired}, {AlreadyClaimed}))
             self.assertGreater(shards, 10)
             self.assertLess(largest, 100_000)
 
@@ -217,7 +219,7 @@
 
         outcomes, again = run_virtual(scenario)
         for first, second in zip(outcomes, again, strict=True):
-            if isinstance(first, Claimed):
+            if isinstance(first, ClaimAcquired):
                 self.assertIsInstance(second, AlreadyClaimed)
             else:
                 self.assertIsInstance(first, ClaimUnavailable)
@@ -240,7 +242,7 @@
                 return outcome, again, platform.calls["put"]
 
         outcome, again, puts = run_virtual(scenario)
-        self.assertIsInstance(outcome, Claimed)
+        self.assertIsInstance(outcome, ClaimAcquired)
         self.assertIsInstance(again, AlreadyClaimed)
         self.assertEqual(puts, 2)
 
@@ -256,7 +258,7 @@
                 platform.lose_answers, platform.hang_lost = 1, True
                 outcome = await home.commit_for_peer(pending, 1)
                 await asyncio.sleep(10)
-                key = f"claims/{first_shard('a' * 32, home.shards):04d}"
+                key = f"claims/{initial_shard_index('a' * 32, home.shard_count):04d}"
                 stored = platform.store.objects[key].value["claims"]
                 return outcome, pending.written, len(stored)
 
--- a/tests/configuration/test_config_changes.py
+++ b/tests/configuration/test_config_diff.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from auburnswitch.configuration.config_changes import (
-    apply_changes,
-    find_changes,
+from auburnswitch.configuration.config_diff import (
+    apply_config_changes,
+    diff_configs,
 )
 from auburnswitch.schema.installation import (
     CallerTeam,
@@ -40,7 +40,7 @@
     @given(ROUTES, ROUTES, st.integers(0, 3), st.integers(0, 3))
     def test_changes_lead_to_the_new_version(self, old, new, few, many):
         before, after = config(1, old, few), config(2, new, many)
-        made = apply_changes(before, find_changes(before, after))
+        made = apply_config_changes(before, diff_configs(before, after))
         self.assertEqual(made.version, 2)
         self.assertEqual(made.teams, after.teams)
         self.assertEqual(made.services, after.services)
@@ -50,7 +50,7 @@
     def test_only_what_changed_is_told(self):
         before = config(1, dict.fromkeys("abcdef", 1), 1)
         after = config(2, {**dict.fromkeys("abcde", 1), "b": 2}, 1)
-        changes = find_changes(before, after)
+        changes = diff_configs(before, after)
         self.assertEqual([r.name for r in changes.changed], ["b"])
         self.assertEqual(changes.removed, ["f"])
         self.assertEqual(changes.rest.routes, [])
@@ -59,7 +59,7 @@
         before = config(1, {"a": 1}, 1)
         after = config(2, {"a": 1}, 1)
         after.routes.append(Route(name="a", host="other"))
-        self.assertIsNone(find_changes(before, after))
+        self.assertIsNone(diff_configs(before, after))
 
 
 if __name__ == "__main__":
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -111,7 +111,7 @@
         state.join_ticket(drop)
         state.join_ticket(add)
         self.assertEqual(state.endpoints, {})
-        self.assertIn("e", state.dangling)
+        self.assertIn("e", state.dangling_endpoints)
 
         other = Ticket(number=4, author="x", changes=[zone("b", out=True)])
         report = check_ticket(other, state)
--- a/tests/configuration/test_tickets.py
+++ b/tests/configuration/test_tickets.py
@@ -7,15 +7,15 @@
 import unittest
 import unittest.mock
 
-from auburnswitch.configuration.compaction import TicketPoller
 from auburnswitch.configuration.state import ConfigState
+from auburnswitch.configuration.ticket_poller import TicketPoller
 from auburnswitch.configuration.tickets import (
     PUBLISHED_PREFIX,
     SNAPSHOT_KEY,
     TICKETS_PREFIX,
     TicketStore,
 )
-from auburnswitch.object_store.store import ObjectStore
+from auburnswitch.object_store.client import ObjectStoreClient
 from auburnswitch.object_store.watcher import StoreWatcher
 from auburnswitch.observe.invariants import Invariants
 from auburnswitch.schema.objects import Ticket
@@ -31,7 +31,7 @@
 
     def __init__(self, url: str, session, **settings) -> None:
         values = PlatformSettings(url=url, **settings)
-        self.store = ObjectStore(settings=values, session=session)
+        self.store = ObjectStoreClient(settings=values, session=session)
         self.state = ConfigState(invariants=Invariants(strict=True))
         self.tickets = TicketStore(store=self.store, state=self.state)
         self.watcher = StoreWatcher(store=self.store, seed=1)
--- a/tests/configuration/test_version_model.py
+++ b/tests/configuration/test_version_model.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 from auburnswitch.configuration import installation as module
-from auburnswitch.configuration.config_changes import find_changes
+from auburnswitch.configuration.config_diff import diff_configs
 from auburnswitch.configuration.installation import Installation
 from auburnswitch.schema.gossip import EndpointChanges
 from auburnswitch.schema.installation import (
@@ -71,7 +71,7 @@
         for version in range(1, NEWEST + 1):
             yield lambda known, v=version: known.adopt_config(config(v), SOURCE)
             for since in range(1, version):
-                changes = find_changes(config(since), config(version))
+                changes = diff_configs(config(since), config(version))
                 yield lambda known, c=changes: known.change_config(c, SOURCE)
 
     def read(self, known: Installation):
@@ -201,7 +201,7 @@
         def change(self, changes, source):
             if self.table is None or changes.version <= self.config_version:
                 return False
-            made = module.apply_changes(self.table.config, changes)
+            made = module.apply_config_changes(self.table.config, changes)
             return self.adopt_config(made, source)
 
         self.refuted(ConfigModel(), "change_config", change)
--- a/tests/endpoints/test_closings.py
+++ b/tests/endpoints/test_closings.py
@@ -10,7 +10,7 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments.fleet import FleetOptions
 from auburnswitch.experiments.freezing import FreezableLoop
-from auburnswitch.object_store.store import StoreUnavailable
+from auburnswitch.object_store.client import StoreUnavailable
 from auburnswitch.standins.engine_model import EngineOptions
 from auburnswitch.standins.history import HistoryKind
 from auburnswitch.standins.instances import InstanceState
@@ -36,7 +36,7 @@
 class FailingStore:
     """A store that is down for one daemon."""
 
-    async def instances(self):
+    async def list_instances(self):
         """Fails to read the instance list."""
         return Error(StoreUnavailable(reason="cut off"))
 
--- a/tests/endpoints/test_orders.py
+++ b/tests/endpoints/test_orders.py
@@ -15,7 +15,7 @@
 from auburnswitch.endpoints.weights import LoadAdmission
 from auburnswitch.experiments.fleet import MODEL, FleetOptions
 from auburnswitch.experiments.freezing import FreezableLoop
-from auburnswitch.object_store.store import ObjectStore
+from auburnswitch.object_store.client import ObjectStoreClient
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.objects import Change, Endpoint, ObjectKind
 from auburnswitch.schema.settings import EndpointsSettings, PlatformSettings
@@ -131,7 +131,7 @@
         async def scenario():
             async with open_platform() as platform, open_session() as session:
                 settings = PlatformSettings(url=platform.url)
-                store = ObjectStore(settings=settings, session=session)
+                store = ObjectStoreClient(settings=settings, session=session)
                 numbers = FencingNumbers(store=store, member_id="me")
                 async with open_keeper(lambda *_: numbers) as (engine, _):
                     engine.orders.fencing_number = 7
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -159,7 +159,7 @@
             await until(lambda: fleet.daemons[0].follower.failed_at)
             fleet.store.remove("servers", "desk-0")
             fleet.store.down = False
-            await until(lambda: known.endpoints["desk-0"].gone_at)
+            await until(lambda: known.endpoints["desk-0"].removal_due_at)
             self.assertEqual((await fleet.call("/book/1"))[0], 200)
             await until(lambda: not open_desks(known), 3.0)
 
--- a/tests/object_store/test_store.py
+++ b/tests/object_store/test_client.py
@@ -7,7 +7,7 @@
 import unittest
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.object_store.store import CallPriority, ObjectStore
+from auburnswitch.object_store.client import CallPriority, ObjectStoreClient
 from auburnswitch.schema.settings import PlatformSettings
 from auburnswitch.standins.platform import open_platform
 from tests.virtual_time import open_session, run_virtual
@@ -20,7 +20,7 @@
         values = PlatformSettings(url=platform.url, **settings)
         yield (
             platform,
-            ObjectStore(
+            ObjectStoreClient(
                 settings=values, session=session, member_count=lambda: members
             ),
         )
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_config_decoder.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from auburnswitch.experiments.installation import make_config
-from auburnswitch.platform.configuration import (
+from auburnswitch.platform.config_decoder import (
     decode_config,
     decode_endpoint,
 )
--- a/tests/platform/test_endpoint_calls.py
+++ b/tests/platform/test_endpoint_client.py
@@ -9,12 +9,12 @@
 import unittest
 
 from auburnswitch.http_exchange import MOST_UNREAD_BYTES
-from auburnswitch.platform.endpoint_calls import (
-    AnswerHead,
-    Broken,
-    EndpointCalls,
-    NotRun,
-    NotSent,
+from auburnswitch.platform.endpoint_client import (
+    BrokenResponse,
+    PlatformEndpointClient,
+    RequestNotExecuted,
+    RequestNotSent,
+    ResponseHead,
 )
 from auburnswitch.platform.requests import decode_request
 from auburnswitch.schema.installation import EndpointEntry
@@ -66,7 +66,7 @@
     )
     async with (
         server,
-        EndpointCalls().send(
+        PlatformEndpointClient().send(
             request, endpoint=entry, headers=request.headers, body=b""
         ) as outcome,
     ):
@@ -74,7 +74,7 @@
         if read_after_end:
             await endpoint.ended.wait()
             await asyncio.sleep(0.02)  # so that the end has arrived
-        if isinstance(outcome, AnswerHead):
+        if isinstance(outcome, ResponseHead):
             body = await outcome.read_all()
         await endpoint.ended.wait()
         return outcome, body
@@ -87,19 +87,19 @@
 
     async def test_body_without_length_that_is_reset_is_not_whole(self):
         _, body = await call(RawEndpoint(HEAD + b"\r\npart", resets=True))
-        self.assertIsInstance(body, Broken)
+        self.assertIsInstance(body, BrokenResponse)
 
     async def test_chunks_that_are_cut(self):
         head = HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"
         for resets in (False, True):
             _, body = await call(RawEndpoint(head, resets=resets))
-            self.assertIsInstance(body, Broken)
+            self.assertIsInstance(body, BrokenResponse)
 
     async def test_length_that_is_not_reached(self):
         head = HEAD + b"Content-Length: 9\r\n\r\nshort"
         for resets in (False, True):
             _, body = await call(RawEndpoint(head, resets=resets))
-            self.assertIsInstance(body, Broken)
+            self.assertIsInstance(body, BrokenResponse)
 
     async def test_second_answer_belongs_to_nothing(self):
         answer = HEAD + b"Content-Length: 2\r\n\r\nok"
@@ -134,12 +134,12 @@
         for answer in (b"", b"HTTP/1.1 200", b"\x00\x01 no answer\r\n\r\n"):
             endpoint = RawEndpoint(answer)
             outcome, _ = await call(endpoint)
-            self.assertIsInstance(outcome, Broken)
+            self.assertIsInstance(outcome, BrokenResponse)
             self.assertEqual(endpoint.connections, 1)  # not sent again
 
     async def test_refusal_as_not_run(self):
         outcome, _ = await call(RawEndpoint(REFUSED))
-        self.assertIsInstance(outcome, NotRun)
+        self.assertIsInstance(outcome, RequestNotExecuted)
 
     async def test_encoded_unsigned_and_foreign_answers(self):
         for head in (
@@ -149,17 +149,17 @@
         ):
             answer = head + b"Content-Length: 1\r\n\r\nx"
             outcome, _ = await call(RawEndpoint(answer))
-            self.assertIsInstance(outcome, Broken)
+            self.assertIsInstance(outcome, BrokenResponse)
 
     async def test_nobody_listens(self):
         entry = EndpointEntry(id="i-1", host="127.0.0.1", port=1)
         request = decode_request(
             method="GET", raw_path=b"/", query=b"", headers=[]
         )
-        async with EndpointCalls().send(
+        async with PlatformEndpointClient().send(
             request, endpoint=entry, headers=[], body=b""
         ) as outcome:
-            self.assertIsInstance(outcome, NotSent)
+            self.assertIsInstance(outcome, RequestNotSent)
 
 
 if __name__ == "__main__":
--- a/tests/routing/plain_support.py
+++ b/tests/routing/plain_support.py
@@ -10,12 +10,12 @@
 import aiohttp
 from starlette.responses import JSONResponse
 
-from auburnswitch.claims.claims import ClaimStore
+from auburnswitch.claims.claim_store import ClaimStore
 from auburnswitch.clock import WallClock, monotonic_s
 from auburnswitch.endpoints.client import Attempt, EndpointClient
 from auburnswitch.endpoints.reservations import HeldReservation
 from auburnswitch.members.view import MemberView
-from auburnswitch.object_store.store import ObjectStore
+from auburnswitch.object_store.client import ObjectStoreClient
 from auburnswitch.observe.invariants import Invariants
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.routing.plain import PlainCall, PlainRouter
@@ -133,7 +133,7 @@
         platform = PlatformSettings(url=self.platform.url, **settings)
         member_id = f"entry-{len(self.routers)}.0"
         claims = PatchableClaims(
-            store=ObjectStore(settings=platform, session=session),
+            store=ObjectStoreClient(settings=platform, session=session),
             settings=platform,
             clock=WallClock(offset_s=1e9),
             member_id=member_id,
--- a/tests/routing/test_load_observer.py
+++ b/tests/routing/test_load_observer.py
@@ -6,7 +6,7 @@
 import unittest
 
 from auburnswitch.configuration.installation import Installation
-from auburnswitch.platform.endpoint_calls import LoadReport
+from auburnswitch.platform.endpoint_client import LoadReport
 from auburnswitch.routing.fleet_load import FleetLoad
 from auburnswitch.routing.load_observer import MOST_AT_ONCE, LoadObserver
 from auburnswitch.schema.installation import (
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from auburnswitch.platform.endpoint_calls import CONNECT_TIMEOUT_S
+from auburnswitch.platform.endpoint_client import CONNECT_TIMEOUT_S
 from auburnswitch.routing.joint_memory import HOLD_MS, RENEW_INTERVAL_S
 from tests.model_search import BrokenRuleError, search
 
--- a/tests/routing/test_plain.py
+++ b/tests/routing/test_plain.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from auburnswitch.object_store.store import ABSENT
+from auburnswitch.object_store.client import ABSENT
 from auburnswitch.schema.results import Ran, ResultCode
 from tests.routing.plain_support import open_bench
 from tests.virtual_time import run_virtual
@@ -112,7 +112,7 @@
                 paused, other = bench.routers
                 pause_at(paused)
                 task = asyncio.create_task(bench.run(paused, deadline_s=60))
-                other.claims.is_gone = lambda member_id: True
+                other.claims.has_member_ended = lambda member_id: True
                 await asyncio.sleep(5)
                 early = await bench.run(other)
                 await asyncio.sleep(20)
@@ -173,9 +173,9 @@
                 codes = [(await bench.run(other)).code]
                 await asyncio.sleep(16)
                 codes.append((await bench.run(other)).code)
-                other.claims.is_gone = lambda member_id: True
+                other.claims.has_member_ended = lambda member_id: True
                 codes.append((await bench.run(other)).code)
-                other.claims.is_gone = lambda member_id: False
+                other.claims.has_member_ended = lambda member_id: False
                 await asyncio.sleep(60)
                 codes.append((await bench.run(other)).code)
                 return codes, len(bench.service.runs)
