--- a/src/auburnswitch/claims/claim_store.py
+++ b/src/auburnswitch/claims/claim_store.py
@@ -22,7 +22,7 @@
     DropClaim,
     RecordOutcome,
     claim_with_outcome,
-    initial_shard_index,
+    root_shard,
     split_bit,
 )
 from auburnswitch.claims.shard_writer import (
@@ -125,8 +125,9 @@
             time_left_s: Time until the request's deadline, in seconds.
 
         Returns:
-            The claim. After `Claimed` the request may be sent once, before
-            the claim's ``dispatch_by``; after anything else it must not be.
+            The claim. After `ClaimAcquired` the request may be sent once,
+            before the claim's ``dispatch_by``; after anything else it must
+            not be.
         """
         claim = self._new_claim(key_hash, request_hash, time_left_s)
         pending = PendingChange(change=AddClaim(claim=claim))
@@ -187,7 +188,7 @@
         if self.forward is None:
             return None
         key_hash = pending.change.claim.key_hash
-        shard = f"claims {initial_shard_index(key_hash, self.shard_count)}"
+        shard = f"claims {root_shard(key_hash, self.shard_count)}"
         return await self.forward(shard, pending)
 
     def record_unknown(self, claim: Claim) -> None:
@@ -241,7 +242,7 @@
 
     def _route(self, pending: PendingChange) -> None:
         key_hash = pending.change.claim.key_hash
-        key = f"{CLAIMS_PREFIX}{initial_shard_index(key_hash, self.shard_count):04d}"
+        key = f"{CLAIMS_PREFIX}{root_shard(key_hash, self.shard_count):04d}"
         depth = 0
         writer = self._writer(key, depth)
         while writer.split_into:
@@ -263,7 +264,7 @@
                 settings=self.settings,
                 clock=self.clock,
                 tasks=self.tasks,
-                random=self.rng,
+                rng=self.rng,
                 route=self._route,
             )
         return writer
@@ -286,7 +287,7 @@
         while not self.shard_count:
             match await self.store.get(LAYOUT_KEY, priority=CallPriority.CLAIM):
                 case Result(tag="ok", ok=StoredObject(value=value)):
-                    self.shard_count = from_json(ClaimLayout, value).shard_count
+                    self.shard_count = from_json(ClaimLayout, value).shards
                     return None
                 case Result(tag="error", error=error):
                     return error
--- a/src/auburnswitch/claims/shard.py
+++ b/src/auburnswitch/claims/shard.py
@@ -164,7 +164,7 @@
     return False
 
 
-def initial_shard_index(key_hash: str, shard_count: int) -> int:
+def root_shard(key_hash: str, shard_count: int) -> int:
     """Returns the number of the shard that a key starts in."""
     return int(key_hash[:8], 16) % shard_count
 
@@ -209,7 +209,7 @@
     "ShardContents",
     "encode_claim",
     "claim_with_outcome",
-    "initial_shard_index",
+    "root_shard",
     "is_final",
     "same_request",
     "split_bit",
--- a/src/auburnswitch/claims/shard_writer.py
+++ b/src/auburnswitch/claims/shard_writer.py
@@ -52,7 +52,8 @@
         change: The change.
         outcome: What came of it.
         written: A write that holds it may have taken effect.
-        commit_deadline_at: Loop time after which a claim is not written any more.
+        commit_deadline_at: Loop time after which a claim is not written any
+            more.
         for_peer: The change is another daemon's.
     """
 
@@ -140,7 +141,7 @@
         settings: PlatformSettings,
         clock: WallClock,
         tasks: TaskSet,
-        random: random.Random,
+        rng: random.Random,
         route: Callable[[PendingChange], None],
     ) -> None:
         self.key = key
@@ -150,7 +151,7 @@
         self.settings = settings
         self.clock = clock
         self.tasks = tasks
-        self.rng = random
+        self.rng = rng
         self.route = route
         self.waiting: list[PendingChange] = []
         self.wake = asyncio.Event()
@@ -250,7 +251,7 @@
                     return None
                 case Result(error=VersionConflict()):
                     reason = "the shard is too busy"
-                    await asyncio.sleep(delay_s * self.rng.rng())
+                    await asyncio.sleep(delay_s * self.rng.random())
                     delay_s = min(2 * delay_s, MAX_CONFLICT_DELAY_S)
                 case Result(error=StoreUnavailable() as error):
                     if not error.outcome_unknown:
--- a/src/auburnswitch/configuration/installation.py
+++ b/src/auburnswitch/configuration/installation.py
@@ -90,8 +90,8 @@
     Attributes:
         entry: Its newest entry.
         cold_until: Loop time until which it tolerates little load, in seconds.
-        removal_due_at: Loop time from which a missing entry counts as gone, None
-            while the entry is there.
+        removal_due_at: Loop time from which a missing entry counts as gone,
+            None while the entry is there.
     """
 
     __slots__ = ("cold_until", "entry", "removal_due_at")
--- a/src/auburnswitch/configuration/state.py
+++ b/src/auburnswitch/configuration/state.py
@@ -37,8 +37,8 @@
         zones: Availability zones in force, by name.
         services: Services in force, by name.
         endpoints: Endpoints in force, by name.
-        dangling_endpoints: What is wrong with each endpoint that is left out, since
-            its service or zone is not there, by the endpoint's name.
+        dangling_endpoints: What is wrong with each endpoint that is left out,
+            since its service or zone is not there, by the endpoint's name.
         team_by_key_digest: Team name by caller-key digest.
         digest: Digest of the state; equal states have equal digests.
         listeners: Called after each change of the state.
--- a/src/auburnswitch/configuration/tickets.py
+++ b/src/auburnswitch/configuration/tickets.py
@@ -89,7 +89,7 @@
         Returns:
             The ticket as kept.
         """
-        ticket.before = self.state.before(ticket)
+        ticket.before = self.state.superseded_entries(ticket)
         value = to_json(ticket)
         size_bytes = self.store.size_bytes(value)
         if size_bytes > self.store.settings.max_value_bytes:
--- a/src/auburnswitch/object_store/circuit_breaker.py
+++ b/src/auburnswitch/object_store/circuit_breaker.py
@@ -25,8 +25,8 @@
 
     __slots__ = ("delay_s", "failures", "next_probe_at", "rng")
 
-    def __init__(self, *, random: random.Random) -> None:
-        self.rng = random
+    def __init__(self, *, rng: random.Random) -> None:
+        self.rng = rng
         self.failures = 0
         self.delay_s = INITIAL_DELAY_S
         self.next_probe_at = 0.0
--- a/src/auburnswitch/object_store/client.py
+++ b/src/auburnswitch/object_store/client.py
@@ -98,7 +98,7 @@
         self.call_count = 0
         self.last_success_at = float("-inf")
         self.rng = random.Random(seed)
-        self.breaker = CircuitBreaker(random=self.rng)
+        self.breaker = CircuitBreaker(rng=self.rng)
         slots = ConcurrencySlots(count=settings.max_concurrency)
         self.reads = CallLimiter(
             bucket=TokenBucket(rate=self._read_rate), slots=slots
--- a/tests/claims/test_claim_store.py
+++ b/tests/claims/test_claim_store.py
@@ -14,7 +14,7 @@
     ClaimUnavailable,
     hash_key,
 )
-from auburnswitch.claims.shard import AddClaim, initial_shard_index
+from auburnswitch.claims.shard import AddClaim, root_shard
 from auburnswitch.claims.shard_writer import PendingChange
 from auburnswitch.clock import WallClock
 from auburnswitch.object_store.client import ObjectStoreClient, VersionConflict
@@ -258,7 +258,7 @@
                 platform.lose_answers, platform.hang_lost = 1, True
                 outcome = await home.commit_for_peer(pending, 1)
                 await asyncio.sleep(10)
-                key = f"claims/{initial_shard_index('a' * 32, home.shard_count):04d}"
+                key = f"claims/{root_shard('a' * 32, home.shard_count):04d}"
                 stored = platform.store.objects[key].value["claims"]
                 return outcome, pending.written, len(stored)
 
