--- a/src/auburnswitch/endpoints/instance_list.py
+++ b/src/auburnswitch/endpoints/instance_list.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from auburnswitch.endpoints.endpoint_manager import EndpointManager
-    from auburnswitch.object_store.store import Instance, ObjectStore
+    from auburnswitch.object_store.client import Instance, ObjectStoreClient
     from auburnswitch.schema.peers import Heartbeat
 
 READER_ELECTION_KEY: Final = "instance list"
@@ -40,7 +40,7 @@
     )
 
     def __init__(
-        self, *, store: ObjectStore, endpoint_manager: EndpointManager
+        self, *, store: ObjectStoreClient, endpoint_manager: EndpointManager
     ) -> None:
         self.store = store
         self.endpoint_manager = endpoint_manager
@@ -82,7 +82,7 @@
         return wait_s == 0 or monotonic_s() > self.updated_at + wait_s
 
     async def _read(self) -> bool:
-        match await self.store.instances():
+        match await self.store.list_instances():
             case Result(tag="ok", ok=instances):
                 self._note(self._leaving(instances))
                 return True
--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform.endpoint_calls import AnswerHead
+from auburnswitch.platform.endpoint_client import ResponseHead
 from auburnswitch.routing.attempt import AttemptRunner
 from auburnswitch.routing.endpoint_health import (
     HARD_FAILURE_WEIGHT,
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from auburnswitch.observe.statistics import EntryStatistics
-    from auburnswitch.platform.endpoint_calls import EndpointCalls
+    from auburnswitch.platform.endpoint_client import PlatformEndpointClient
     from auburnswitch.routing.crash_registry import CrashRegistry
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_selector import (
@@ -56,7 +56,7 @@
         self,
         *,
         selector: EndpointSelector,
-        calls: EndpointCalls,
+        calls: PlatformEndpointClient,
         budget: WindowedRetryBudget,
         memory: MemoryReservations,
         crash_registry: CrashRegistry,
@@ -211,7 +211,7 @@
             case AttemptFailed(sent=True, may_have_run=False, reason=reason):
                 self.selector.load.by_endpoint[endpoint].note_full()
                 health.note_failure(endpoint, reason, SOFT_FAILURE_WEIGHT)
-            case AttemptFailed(head=AnswerHead()):
+            case AttemptFailed(head=ResponseHead()):
                 health.note_failure(
                     endpoint, outcome.reason, SOFT_FAILURE_WEIGHT
                 )
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -22,7 +22,7 @@
         Installation,
         KnownEndpoint,
     )
-    from auburnswitch.platform.endpoint_calls import EndpointCalls
+    from auburnswitch.platform.endpoint_client import PlatformEndpointClient
     from auburnswitch.routing.fleet_load import FleetLoad
 
 OBSERVE_INTERVAL_S: Final = 2.0
@@ -68,7 +68,7 @@
         *,
         installation: Installation,
         load: FleetLoad,
-        calls: EndpointCalls,
+        calls: PlatformEndpointClient,
         instance: str,
         live_instances: Callable[[], Iterable[str]],
         publish: Callable[[list[EngineReport]], None],
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform.requests import ReadHelper
+from auburnswitch.platform.requests import PrefillHelper
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from auburnswitch.platform.endpoint_calls import EndpointCalls
+    from auburnswitch.platform.endpoint_client import PlatformEndpointClient
     from auburnswitch.routing.endpoint_selector import Placement
     from auburnswitch.schema.installation import EndpointEntry
 
@@ -48,7 +48,7 @@
 
     __slots__ = ("_number", "calls", "prefix", "release_tasks")
 
-    def __init__(self, *, calls: EndpointCalls, prefix: str) -> None:
+    def __init__(self, *, calls: PlatformEndpointClient, prefix: str) -> None:
         self.calls = calls
         self.prefix = prefix
         self.release_tasks: set[asyncio.Task[None]] = set()
@@ -57,7 +57,7 @@
     @contextlib.asynccontextmanager
     async def reserve(
         self, request_id: str, placement: Placement
-    ) -> AsyncIterator[list[ReadHelper] | MemoryRefusal]:
+    ) -> AsyncIterator[list[PrefillHelper] | MemoryRefusal]:
         """Reserves a placement's memory until the context ends.
 
         Yields:
@@ -66,7 +66,7 @@
         """
         holders = [known.entry for known in placement.holders()]
         readers = [
-            ReadHelper(endpoint=known.entry)
+            PrefillHelper(endpoint=known.entry)
             for known in placement.helpers[len(holders) :]
         ]
         if not holders:
@@ -91,7 +91,7 @@
             renewing = asyncio.create_task(self._renew(holders, key, tokens))
             try:
                 held = [
-                    ReadHelper(endpoint=endpoint, reservation=key)
+                    PrefillHelper(endpoint=endpoint, reservation=key)
                     for endpoint in holders
                 ]
                 yield [*held, *readers]
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -6,7 +6,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.logs import log_event
-from auburnswitch.platform.endpoint_calls import Broken
+from auburnswitch.platform.endpoint_client import BrokenResponse
 from auburnswitch.routing.outcomes import AttemptFailed, Delivered
 from auburnswitch.routing.sse_events import (
     SseEventSplitter,
@@ -19,7 +19,7 @@
     import asyncio
 
     from auburnswitch.observe.statistics import EntryStatistics
-    from auburnswitch.platform.endpoint_calls import AnswerHead
+    from auburnswitch.platform.endpoint_client import ResponseHead
     from auburnswitch.routing.attempt_timeouts import AttemptTimeouts
     from auburnswitch.routing.delivery_job import DeliveryJob
     from auburnswitch.routing.endpoint_selector import (
@@ -78,11 +78,11 @@
         self.timeouts = timeouts
         self.splitter = SseEventSplitter()
 
-    async def run(self, answer: AnswerHead) -> Delivered | AttemptFailed:
+    async def run(self, answer: ResponseHead) -> Delivered | AttemptFailed:
         """Relays until the stream ends or breaks."""
         while True:
             data = await answer.read_chunk()
-            if isinstance(data, Broken):
+            if isinstance(data, BrokenResponse):
                 return AttemptFailed(
                     reason=data.reason,
                     may_have_run=True,
@@ -99,7 +99,7 @@
         await self.writer.finish()
         return Delivered(status=answer.status)
 
-    async def _pass_on(self, answer: AnswerHead, events: list[bytes]) -> None:
+    async def _pass_on(self, answer: ResponseHead, events: list[bytes]) -> None:
         gap_s = self.timeouts.gap_timeout_s()
         when = None if gap_s is None else monotonic_s() + gap_s
         self.timer.reschedule(when)
@@ -125,7 +125,7 @@
             after_ms=round(after_s * 1000, 1),
         )
 
-    async def _start(self, answer: AnswerHead) -> None:
+    async def _start(self, answer: ResponseHead) -> None:
         if not self.writer.started:
             await self.writer.start(answer.status, answer.headers)
 
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from auburnswitch.platform.endpoint_calls import CONNECT_TIMEOUT_S
+from auburnswitch.platform.endpoint_client import CONNECT_TIMEOUT_S
 from auburnswitch.routing.memory_reservations import (
     RENEW_INTERVAL_S,
     RESERVATION_LEASE_MS,
