--- a/src/auburnswitch/daemon/parts.py
+++ b/src/auburnswitch/daemon/parts.py
@@ -30,13 +30,13 @@
 from auburnswitch.endpoints.reservations import ReservationClient
 from auburnswitch.endpoints.weights import LoadAdmission
 from auburnswitch.members.claim_forwarder import ClaimForwarder
-from auburnswitch.members.departures import Departures
-from auburnswitch.members.isolation import Isolation
-from auburnswitch.members.roster import ROSTER_KEY, RosterKeeper
-from auburnswitch.members.server import PeerServer
-from auburnswitch.members.service import Membership
-from auburnswitch.members.strict import StrictRights
-from auburnswitch.members.view import MemberView
+from auburnswitch.members.isolation import IsolationDetector
+from auburnswitch.members.member_view import MemberView
+from auburnswitch.members.membership import Membership
+from auburnswitch.members.ownership_leases import OwnershipLeases
+from auburnswitch.members.peer_server import PeerServer
+from auburnswitch.members.roster import ROSTER_KEY, RosterManager
+from auburnswitch.members.termination_detector import TerminationDetector
 from auburnswitch.object_store.store import ObjectStore
 from auburnswitch.object_store.watcher import StoreWatcher
 from auburnswitch.observe.invariants import Invariant, Invariants
@@ -65,7 +65,7 @@
     import aiohttp
 
     from auburnswitch.http_server import HttpServer
-    from auburnswitch.members.connection import Dialer
+    from auburnswitch.members.peer_connection import Dialer
     from auburnswitch.schema.settings import Settings
 
 DRAIN_POLL_S: Final = 0.05
@@ -113,7 +113,9 @@
             host=settings.peers.host,
             port=settings.peers.port,
         )
-        self.view = MemberView(me=self.member, settings=settings.members)
+        self.view = MemberView(
+            local_member=self.member, settings=settings.members
+        )
         self.store = ObjectStore(
             settings=settings.platform,
             session=session,
@@ -122,16 +124,18 @@
         )
         self.tickets = TicketStore(store=self.store, state=self.state)
         self.watcher = StoreWatcher(store=self.store, seed=seed)
-        self.strict_rights = StrictRights(view=self.view)
-        self.departures = Departures(view=self.view, store=self.store)
-        self.isolation = Isolation(
-            view=self.view, read_at=lambda: self.watcher.read_at
+        self.ownership_leases = OwnershipLeases(view=self.view)
+        self.termination_detector = TerminationDetector(
+            view=self.view, store=self.store
+        )
+        self.isolation = IsolationDetector(
+            view=self.view, get_store_read_at=lambda: self.watcher.read_at
         )
-        self.roster = RosterKeeper(
+        self.roster = RosterManager(
             store=self.store,
             view=self.view,
-            departures=self.departures,
-            synced=self.watcher.synced,
+            termination_detector=self.termination_detector,
+            store_synced=self.watcher.synced,
             seed=seed,
         )
         self.watcher.handlers[PUBLISHED_PREFIX] = self.tickets.handle_ticket
@@ -172,8 +176,8 @@
             settings=self.settings,
             shared_key=shared_key,
             view=self.view,
-            strict_rights=self.strict_rights,
-            departures=self.departures,
+            ownership_leases=self.ownership_leases,
+            termination_detector=self.termination_detector,
             isolation=self.isolation,
             state=self.state,
             tasks=self.tasks,
@@ -187,7 +191,7 @@
             view=self.view,
             state=self.state,
             invariants=self.invariants,
-            rights=self.strict_rights,
+            rights=self.ownership_leases,
         )
         self.reservations = ReservationClient(
             owner_table=self.owner_table, membership=self.membership
@@ -210,7 +214,7 @@
         self.instances = InstanceReader(
             store=self.store, owner_table=self.owner_table
         )
-        self.membership.heartbeat_sources += [
+        self.membership.heartbeat_fillers += [
             self.owner_table.fill_heartbeat,
             self.reservations.fill_heartbeat,
             self.instances.fill_heartbeat,
@@ -220,7 +224,7 @@
             self.instances.note_heartbeat,
         ]
         handover = Handover(owner_table=self.owner_table)
-        self.membership.handover_sources.append(handover.fill)
+        self.membership.handover_fillers.append(handover.fill)
         self.membership.handover_listeners.append(handover.take)
         self.orphans = OrphanCollector(
             owner_table=self.owner_table,
@@ -247,10 +251,10 @@
             view=self.view,
             interval_s=self.settings.members.heartbeat_interval_s,
         )
-        self.membership.heartbeat_sources.append(limits.fill_heartbeat)
+        self.membership.heartbeat_fillers.append(limits.fill_heartbeat)
         self.membership.heartbeat_listeners.append(limits.note_heartbeat)
         self.owner_table.is_struck = self.strikes.is_struck
-        self.membership.heartbeat_sources.append(self.strikes.fill_heartbeat)
+        self.membership.heartbeat_fillers.append(self.strikes.fill_heartbeat)
         self.membership.heartbeat_listeners.append(self.strikes.note_heartbeat)
         placer = Placer(
             owner_table=self.owner_table,
@@ -285,7 +289,7 @@
             member_id=self.member.id,
             tasks=self.tasks,
             seed=seed,
-            is_gone=self.view.is_gone,
+            is_gone=self.view.has_departed,
         )
         self.claim_forwarder = ClaimForwarder(
             claims=self.claims, membership=self.membership
@@ -367,7 +371,7 @@
         held = len(self.reservations.held)
         self.invariants.check(not held, Invariant.GRACEFUL_STOP, held=held)
         self.view.leaving = True
-        await self.membership.hand_over()
+        await self.membership.hand_over_leases()
         await asyncio.sleep(self.settings.members.heartbeat_interval_s)
         await self.roster.leave()
 
--- a/src/auburnswitch/daemon/run.py
+++ b/src/auburnswitch/daemon/run.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
-    from auburnswitch.members.connection import Dialer
+    from auburnswitch.members.peer_connection import Dialer
     from auburnswitch.schema.settings import Settings
 
 CLAIM_FLUSH_TIMEOUT_S: Final = 5.0
--- a/src/auburnswitch/daemon/status.py
+++ b/src/auburnswitch/daemon/status.py
@@ -10,7 +10,7 @@
     from auburnswitch.callers.in_flight import InFlightCounter
     from auburnswitch.configuration.state import ConfigState
     from auburnswitch.endpoints.owner import OwnerTable
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.object_store.store import ObjectStore
     from auburnswitch.object_store.watcher import StoreWatcher
     from auburnswitch.observe.invariants import Invariants
--- a/src/auburnswitch/endpoints/granting.py
+++ b/src/auburnswitch/endpoints/granting.py
@@ -21,7 +21,7 @@
     from auburnswitch.endpoints.ledger import EndpointLedger
     from auburnswitch.endpoints.rights import StrictOwnership
     from auburnswitch.endpoints.survey import StrictGate
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.observe.invariants import Invariants
     from auburnswitch.schema.peers import ReserveRequest
     from auburnswitch.schema.settings import RoutingSettings
@@ -103,7 +103,7 @@
         if self._meets_struck(ledger, request):
             return None
         self.next_id += 1
-        reservation_id = f"{self.view.me.id}/{self.next_id}"
+        reservation_id = f"{self.view.local_member.id}/{self.next_id}"
         reservation = ledger.grant(request, member_id, reservation_id)
         reservation.expected_s = predicted_wait_s(
             ledger, reservation.length_class
@@ -143,7 +143,7 @@
         holds = not ledger.is_cold or (
             ledger.running <= bounds.running
             and ledger.prompt_tokens <= bounds.prompt_tokens
-            and self.rights.may_use(ledger.name)
+            and self.rights.holds_lease(ledger.name)
         )
         self.invariants.check(holds, Invariant.COLD_BOUND, endpoint=ledger.name)
         closed = self.closings.phase(ledger.name)
--- a/src/auburnswitch/endpoints/instances.py
+++ b/src/auburnswitch/endpoints/instances.py
@@ -62,10 +62,12 @@
     def _is_reader(self) -> bool:
         view = self.owner_table.view
         order = rendezvous_order(READER_NAME, view.live_ids())
-        if view.me.id not in order:
+        if view.local_member.id not in order:
             return False  # this daemon is stopping
         interval_s = self.owner_table.settings.endpoints.instances_interval_s
-        wait_s = order.index(view.me.id) * MISSED_READINGS * interval_s
+        wait_s = (
+            order.index(view.local_member.id) * MISSED_READINGS * interval_s
+        )
         return wait_s == 0 or monotonic_s() > self.noted_at + wait_s
 
     async def _read(self) -> bool:
--- a/src/auburnswitch/endpoints/orders.py
+++ b/src/auburnswitch/endpoints/orders.py
@@ -127,7 +127,7 @@
     def _is_due(self, ledger: EndpointLedger) -> bool:
         if not self.wanted(ledger):
             return False
-        if not self.owner_table.rights.may_use(ledger.name):
+        if not self.owner_table.rights.holds_lease(ledger.name):
             return False
         state = self.states.get(ledger.name)
         if state is None or state.matched != self._match_key(ledger):
@@ -229,7 +229,7 @@
         Raises:
             EndpointFailureError: The rights have run out.
         """
-        if not self.owner_table.rights.may_use(ledger.name):
+        if not self.owner_table.rights.holds_lease(ledger.name):
             raise EndpointFailureError(
                 "the strict rights have run out", sent=False, lost=False
             )
--- a/src/auburnswitch/endpoints/orphans.py
+++ b/src/auburnswitch/endpoints/orphans.py
@@ -23,7 +23,7 @@
     from auburnswitch.endpoints.owner import OwnerTable
     from auburnswitch.endpoints.reservation import Reservation
     from auburnswitch.endpoints.reservations import ReservationClient
-    from auburnswitch.members.server import PeerServer
+    from auburnswitch.members.peer_server import PeerServer
 
 ROUNDS: Final = 2
 
@@ -183,7 +183,7 @@
     async def _is_dead(self, ledger: EndpointLedger, key: WorkKey) -> bool:
         """Tells whether the daemon that sent the work has it no longer."""
         view = self.owner_table.view
-        if key.member_id == view.me.id:
+        if key.member_id == view.local_member.id:
             return not self._has(ledger.name, key.request_id, key.attempt)
         status = view.peers.get(key.member_id)
         oldest = monotonic_s() - view.settings.suspect_after_s
@@ -193,7 +193,7 @@
         if key.member_id in view.roster_ids():
             return False  # it may be frozen or cut off
         # Only the roster that a majority goes by shows who is gone.
-        return self.owner_table.rights.may_use(ledger.name)
+        return self.owner_table.rights.holds_lease(ledger.name)
 
     async def _is_given_up(self, ledger: EndpointLedger, key: WorkKey) -> bool:
         link = self.reservations.membership.links.get(key.member_id)
--- a/src/auburnswitch/endpoints/owner.py
+++ b/src/auburnswitch/endpoints/owner.py
@@ -37,7 +37,7 @@
     from auburnswitch.configuration.state import ConfigState
     from auburnswitch.endpoints.load import LoadReport
     from auburnswitch.endpoints.rights import StrictOwnership
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.observe.invariants import Invariants
     from auburnswitch.schema.settings import Settings
 
@@ -133,7 +133,7 @@
 
     def owns(self, endpoint: str) -> bool:
         """Tells whether this daemon owns an endpoint."""
-        return self.owner_of(endpoint) == self.view.me.id
+        return self.owner_of(endpoint) == self.view.local_member.id
 
     def owned(self) -> list[str]:
         """Returns the endpoints that this daemon owns."""
--- a/src/auburnswitch/endpoints/owner_calls.py
+++ b/src/auburnswitch/endpoints/owner_calls.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
     from auburnswitch.endpoints.owner import OwnerTable
-    from auburnswitch.members.service import Membership
+    from auburnswitch.members.membership import Membership
 
 LATE_REPLY_TIMEOUT_S: Final = 60.0
 
@@ -52,7 +52,7 @@
 
         Room that is granted after the asker has gone is given back.
         """
-        me = self.owner_table.view.me.id
+        me = self.owner_table.view.local_member.id
         if owner_id == me:
             return await self.owner_table.reserve(request, me)
         link = self.membership.links.get(owner_id)
@@ -105,7 +105,7 @@
         self, member_id: str, request: ReleaseRequest | ProgressRequest
     ) -> None:
         """Tells an owner of the progress or the end of a reservation."""
-        if member_id == self.owner_table.view.me.id:
+        if member_id == self.owner_table.view.local_member.id:
             self.apply(request)
             return
         link = self.membership.links.get(member_id)
--- a/src/auburnswitch/endpoints/ownership.py
+++ b/src/auburnswitch/endpoints/ownership.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from auburnswitch.members.rendezvous import rendezvous_first
+from auburnswitch.members.rendezvous import rendezvous_owner
 
 if TYPE_CHECKING:
     from auburnswitch.configuration.state import ConfigState
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
 
 
 class OwnerMap:
@@ -35,13 +35,13 @@
     def owned(self) -> list[str]:
         """Returns the configured endpoints that this daemon owns."""
         self._refresh()
-        me = self.view.me.id
+        me = self.view.local_member.id
         return [n for n in self.state.endpoints if self._owner(n) == me]
 
     def _owner(self, endpoint: str) -> str:
         owner = self.owners.get(endpoint)
         if owner is None:
-            owner = rendezvous_first(endpoint, self.live_ids)
+            owner = rendezvous_owner(endpoint, self.live_ids)
             self.owners[endpoint] = owner
         return owner
 
--- a/src/auburnswitch/endpoints/rebuild.py
+++ b/src/auburnswitch/endpoints/rebuild.py
@@ -12,7 +12,7 @@
     from auburnswitch.endpoints.ledger import EndpointLedger
     from auburnswitch.endpoints.load import LoadReport
     from auburnswitch.endpoints.reservation import Reservation
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.schema.peers import RunningWork
     from auburnswitch.schema.settings import Settings
 
@@ -85,7 +85,9 @@
         lag_s = self.settings.endpoints.load_lag_s
         if monotonic_s() < since + lag_s:
             return False
-        others = [i for i in self.view.live_ids() if i != self.view.me.id]
+        others = [
+            i for i in self.view.live_ids() if i != self.view.local_member.id
+        ]
         return all(self.reported_at.get(i, _NEVER) >= since for i in others)
 
     def _note_missing(
@@ -121,7 +123,7 @@
         """Tells whether no living daemon is known to hold a reservation."""
         if reservation.lingering:
             return True
-        if reservation.member_id == self.view.me.id:
+        if reservation.member_id == self.view.local_member.id:
             return False
         heard_at = self.reported_at.get(reservation.member_id, _NEVER)
         silent_s = monotonic_s() - max(heard_at, reservation.reported_at)
--- a/src/auburnswitch/endpoints/reservations.py
+++ b/src/auburnswitch/endpoints/reservations.py
@@ -26,8 +26,8 @@
 
     from auburnswitch.endpoints.client import Attempt
     from auburnswitch.endpoints.owner import OwnerTable
-    from auburnswitch.members.server import PeerServer
-    from auburnswitch.members.service import Membership
+    from auburnswitch.members.membership import Membership
+    from auburnswitch.members.peer_server import PeerServer
 
 
 class DispatchRefusedError(EndpointFailureError):
@@ -220,7 +220,7 @@
 
     def report_own(self) -> None:
         """Reports this daemon's reservations to its own owner table."""
-        me = self.owner_table.view.me.id
+        me = self.owner_table.view.local_member.id
         self.owner_table.rebuilder.note_report(me, self._works_for(me))
 
     def _works_for(self, member_id: str) -> list[RunningWork]:
@@ -278,7 +278,7 @@
     ) -> None:
         members = [self.owner_table.owner_of(endpoint), granted_by]
         if endpoint in self.owner_table.ledgers:
-            members.insert(0, self.owner_table.view.me.id)
+            members.insert(0, self.owner_table.view.local_member.id)
         for member_id in dict.fromkeys(members):
             await self.calls.send(member_id, request)
 
--- a/src/auburnswitch/endpoints/rights.py
+++ b/src/auburnswitch/endpoints/rights.py
@@ -11,7 +11,7 @@
     def owner_of(self, endpoint: str) -> str:
         """Returns the roster member that owns an endpoint."""
 
-    def may_use(self, endpoint: str) -> bool:
+    def holds_lease(self, endpoint: str) -> bool:
         """Tells whether this daemon holds the strict rights now."""
 
 
--- a/src/auburnswitch/endpoints/survey.py
+++ b/src/auburnswitch/endpoints/survey.py
@@ -40,7 +40,7 @@
 
     def note_rights(self, ledger: EndpointLedger) -> bool:
         """Notes when strict rights begin and end; tells whether they last."""
-        if not self.rights.may_use(ledger.name):
+        if not self.rights.holds_lease(ledger.name):
             ledger.strict_since = None
             return False
         if ledger.strict_since is None:
--- a/src/auburnswitch/entry/parts.py
+++ b/src/auburnswitch/entry/parts.py
@@ -13,8 +13,8 @@
 from auburnswitch.members.cells import Cells
 from auburnswitch.members.entry_directory import EntryDirectory
 from auburnswitch.members.gossip import GossipNode
-from auburnswitch.members.relay_table import strongest
-from auburnswitch.members.rendezvous import rendezvous_first, rendezvous_order
+from auburnswitch.members.relay_selector import fastest_link_instances
+from auburnswitch.members.rendezvous import rendezvous_order, rendezvous_owner
 from auburnswitch.members.state_exchange import StateExchange
 from auburnswitch.observe.logs import log_event
 from auburnswitch.observe.statistics import EntryStatistics
@@ -36,7 +36,7 @@
     import random
     from collections.abc import Callable
 
-    from auburnswitch.members.peer import Peer
+    from auburnswitch.members.gossip_peer import GossipPeer
     from auburnswitch.observe.tasks import TaskSet
     from auburnswitch.schema.entry import EntrySettings
     from auburnswitch.schema.gossip import Gossip, WorkItem
@@ -93,15 +93,15 @@
         self.cells = Cells(
             installation=self.installation, instance=record.instance
         )
-        self.directory = EntryDirectory(me=record, store=self.store)
+        self.directory = EntryDirectory(local_record=record, store=self.store)
         self.gossip = GossipNode(
-            me=record,
+            local_record=record,
             incarnation=int(time.time() * _MS_PER_S),
-            describe=self._describe,
+            fill_state=self._describe,
             list_work=self._list_work,
             on_gossip=self._note_gossip,
             is_reader=self._is_reader,
-            is_near=self.cells.is_near,
+            is_cell_peer=self.cells.is_cell_peer,
         )
         self.exchange = StateExchange(
             installation=self.installation,
@@ -154,7 +154,7 @@
             live_daemons=lambda: [
                 peer.record.instance for peer in self.gossip.live_peers()
             ],
-            tell=self.gossip.tell_reports,
+            tell=self.gossip.send_engine_reports,
         )
         self.app = EntryApp(
             installation=self.installation,
@@ -162,7 +162,7 @@
             chance=chance,
             statistics=self.statistics,
         )
-        self.installation.listeners.append(self.gossip.tell_news)
+        self.installation.listeners.append(self.gossip.send_state)
 
     @property
     def ready(self) -> bool:
@@ -194,14 +194,14 @@
         self.stopping = True
         self.app.stopping = True
         self.gossip.stopping = True
-        self.gossip.tell_news()
+        self.gossip.send_state()
 
     async def _join(self) -> None:
         key, others = await self.directory.join()
         for record in others:
             self.gossip.add_peer(record)
         self.gossip.key = key
-        self.gossip.tell_news()
+        self.gossip.send_state()
 
     async def _keep_members(self) -> None:
         """Forgets daemons that are gone; finds others again after a cut."""
@@ -209,26 +209,26 @@
             await asyncio.sleep(self.members_interval_s)
             if not self.gossip.key:
                 continue
-            gone = self.gossip.drop_silent(
+            gone = self.gossip.remove_silent_peers(
                 GONE_INTERVALS * self.members_interval_s
             )
             for instance in gone:
                 log_event(EventId.PEER_FORGOTTEN, peer=instance)
                 if self._is_reader():
-                    await self.directory.forget(instance)
+                    await self.directory.unregister(instance)
             if not self.gossip.live_peers():
                 await self._join()
 
     async def _expire(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
-            self.load.expire(self.gossip.me.instance)
+            self.load.expire(self.gossip.local_record.instance)
 
     def _group(self) -> str:
         """Returns the group of daemons that prefer the same engines."""
         groups = max(1, len(self.gossip.peers) // DAEMONS_IN_GROUP)
-        instance = self.gossip.me.instance
-        return rendezvous_first(instance, [str(n) for n in range(groups)])
+        instance = self.gossip.local_record.instance
+        return rendezvous_owner(instance, [str(n) for n in range(groups)])
 
     def _count_daemons(self) -> int:
         """Counts the daemons there may be, whether they answer or not."""
@@ -253,8 +253,8 @@
             live = [peer.record for peer in self.gossip.peers.values()]
         if len(live) < readers:
             return True
-        me = self.gossip.me.instance
-        able = strongest([*live, self.gossip.me])
+        me = self.gossip.local_record.instance
+        able = fastest_link_instances([*live, self.gossip.local_record])
         order = rendezvous_order(READER_DUTY, able)
         if me in order[:readers]:
             return True
@@ -282,11 +282,11 @@
             message.store_read_age_ms = (monotonic_s() - read_at) * _MS_PER_S
 
     def _list_work(self) -> list[WorkItem]:
-        items = self.load.items[self.gossip.me.instance]
+        items = self.load.items[self.gossip.local_record.instance]
         now = monotonic_s()
         for item in items.values():
             share = self.load.by_endpoint[item.endpoint].shares.get(
-                (self.gossip.me.instance, item.id)
+                (self.gossip.local_record.instance, item.id)
             )
             if share is not None:
                 item.remaining_ms = max(0.0, share.ends_at - now) * _MS_PER_S
@@ -294,25 +294,25 @@
 
     def _tell_change(self, started: list[WorkItem], ended: list[int]) -> None:
         for item in started:
-            everywhere = self._concerns_all(item)
-            if everywhere:
+            to_all_cells = self._concerns_all(item)
+            if to_all_cells:
                 self._told_everywhere.add(item.id)
-            self.gossip.tell_started([item], everywhere=everywhere)
+            self.gossip.send_started_work([item], to_all_cells=to_all_cells)
         for number in ended:
-            everywhere = number in self._told_everywhere
+            to_all_cells = number in self._told_everywhere
             self._told_everywhere.discard(number)
-            self.gossip.tell_ended([number], everywhere=everywhere)
+            self.gossip.schedule_ended_work([number], to_all_cells=to_all_cells)
 
     def _concerns_all(self, item: WorkItem) -> bool:
         """Whether daemons of other cells may use an endpoint of the work."""
         known = self.installation.endpoints.get(item.endpoint)
         if known is None or not item.memory_tokens:
             return False  # plain endpoints are chosen by what is known near
-        split = self.cells.is_split(known.entry.service_name)
+        split = self.cells.spans_cells(known.entry.service_name)
         used = (item.endpoint, *item.helpers)
-        return not split or not all(map(self.cells.is_own, used))
+        return not split or not all(map(self.cells.is_cell_endpoint, used))
 
-    def _note_gossip(self, peer: Peer, message: Gossip) -> None:
+    def _note_gossip(self, peer: GossipPeer, message: Gossip) -> None:
         name = peer.record.instance
         if message.complete:
             self.load.replace(name, message.items)
--- a/src/auburnswitch/members/cells.py
+++ b/src/auburnswitch/members/cells.py
@@ -18,8 +18,8 @@
         KnownEndpoint,
     )
 
-ENDPOINTS_IN_CELL: Final = 64
-LARGEST_SINGLE_CELL: Final = 128
+ENDPOINTS_PER_CELL: Final = 64
+MAX_SINGLE_CELL_ENDPOINTS: Final = 128
 
 
 class Cells:
@@ -58,19 +58,21 @@
         self._refresh()
         return len(self._ring.members)
 
-    def is_near(self, instance: str) -> bool:
+    def is_cell_peer(self, instance: str) -> bool:
         """Whether a daemon is of this daemon's cell."""
         return self.count == 1 or self._ring.owner(instance) == self._mine
 
-    def is_split(self, service: str) -> bool:
+    def spans_cells(self, service: str) -> bool:
         """Whether the endpoints of a service are in several cells."""
-        return self.count > 1 and self._sizes[service] > LARGEST_SINGLE_CELL
+        return (
+            self.count > 1 and self._sizes[service] > MAX_SINGLE_CELL_ENDPOINTS
+        )
 
-    def is_own(self, endpoint: str) -> bool:
+    def is_cell_endpoint(self, endpoint: str) -> bool:
         """Whether an endpoint is of this daemon's cell."""
         return self.count == 1 or self._ring.owner(endpoint) == self._mine
 
-    def own_endpoints(self, service: str) -> list[KnownEndpoint]:
+    def cell_endpoints(self, service: str) -> list[KnownEndpoint]:
         """Returns the endpoints of a split service in this daemon's cell."""
         self._refresh()
         return self._own.get(service, [])
@@ -86,8 +88,8 @@
         )
         largest = max(self._sizes.values(), default=0)
         count = 1
-        if largest > LARGEST_SINGLE_CELL:
-            count = largest // ENDPOINTS_IN_CELL
+        if largest > MAX_SINGLE_CELL_ENDPOINTS:
+            count = largest // ENDPOINTS_PER_CELL
         if count != len(self._ring.members):
             self._ring = HashRing(members=[str(n) for n in range(count)])
             self._mine = self._ring.owner(self.instance)
--- a/src/auburnswitch/members/claim_forwarder.py
+++ b/src/auburnswitch/members/claim_forwarder.py
@@ -18,7 +18,7 @@
 )
 from auburnswitch.claims.writer import PendingChange
 from auburnswitch.members.frames import FrameError
-from auburnswitch.members.rendezvous import rendezvous_first
+from auburnswitch.members.rendezvous import rendezvous_owner
 from auburnswitch.schema.peers import (
     ClaimAction,
     ClaimVerdict,
@@ -28,8 +28,8 @@
 
 if TYPE_CHECKING:
     from auburnswitch.claims.claims import ClaimStore
-    from auburnswitch.members.server import PeerServer
-    from auburnswitch.members.service import Membership
+    from auburnswitch.members.membership import Membership
+    from auburnswitch.members.peer_server import PeerServer
 
 FORWARD_TIMEOUT_S: Final = 1.0
 
@@ -64,9 +64,13 @@
         """
         change = pending.change
         view = self.membership.view
-        home = rendezvous_first(shard, view.live_ids())
+        home = rendezvous_owner(shard, view.live_ids())
         link = self.membership.links.get(home)
-        if home == view.me.id or link is None or link.connection is None:
+        if (
+            home == view.local_member.id
+            or link is None
+            or link.connection is None
+        ):
             return None
         action = (
             ClaimAction.ADD
--- a/src/auburnswitch/members/entry_directory.py
+++ b/src/auburnswitch/members/entry_directory.py
@@ -16,25 +16,27 @@
 if TYPE_CHECKING:
     from auburnswitch.platform.store import PlatformStore, StoredObject
 
-KEY_NAME: Final = "peer-key"
-KEY_BYTES: Final = 32
-RETRY_INTERVAL_S: Final = 0.2
-LONGEST_RETRY_INTERVAL_S: Final = 1.0
-RETRY_GROWTH: Final = 1.6
+SHARED_KEY_OBJECT_NAME: Final = "peer-key"
+SHARED_KEY_BYTES: Final = 32
+INITIAL_BACKOFF_S: Final = 0.2
+MAX_BACKOFF_S: Final = 1.0
+BACKOFF_FACTOR: Final = 1.6
 
 
 class EntryDirectory:
     """Registers this daemon and reads the records of the others.
 
     Attributes:
-        me: This daemon's record.
+        local_record: This daemon's record.
         store: The store.
     """
 
-    __slots__ = ("me", "store")
+    __slots__ = ("local_record", "store")
 
-    def __init__(self, *, me: DaemonRecord, store: PlatformStore) -> None:
-        self.me = me
+    def __init__(
+        self, *, local_record: DaemonRecord, store: PlatformStore
+    ) -> None:
+        self.local_record = local_record
         self.store = store
 
     async def join(self) -> tuple[bytes, list[DaemonRecord]]:
@@ -43,7 +45,7 @@
         Returns:
             The key that all daemons share, and the records of the others.
         """
-        pause_s = RETRY_INTERVAL_S
+        pause_s = INITIAL_BACKOFF_S
         while True:
             joined = await self._try_join()
             if not isinstance(joined, str):
@@ -51,9 +53,9 @@
                 return joined
             log_event(EventId.DIRECTORY_FAILED, reason=joined)
             await asyncio.sleep(pause_s)
-            pause_s = min(pause_s * RETRY_GROWTH, LONGEST_RETRY_INTERVAL_S)
+            pause_s = min(pause_s * BACKOFF_FACTOR, MAX_BACKOFF_S)
 
-    async def forget(self, instance: str) -> None:
+    async def unregister(self, instance: str) -> None:
         """Deletes the record of a daemon that is gone for good."""
         await self.store.delete(DAEMONS_KIND, instance)
 
@@ -63,8 +65,8 @@
         The record is written before the others are read, so that of two
         daemons that start together at least one finds the other.
         """
-        body = to_json(self.me)
-        name = self.me.instance
+        body = to_json(self.local_record)
+        name = self.local_record.instance
         created = await self.store.create(DAEMONS_KIND, name, body)
         if isinstance(created, StoreFailure):
             return f"record: {created.reason}"
@@ -77,16 +79,19 @@
             replaced = await self.store.replace(DAEMONS_KIND, name, body)
             if isinstance(replaced, StoreFailure):
                 return f"record: {replaced.reason}"
-        key = _key(by_name.pop(KEY_NAME, None)) or await self._make_key()
+        key = (
+            _key(by_name.pop(SHARED_KEY_OBJECT_NAME, None))
+            or await self._make_key()
+        )
         if key is None:
             return "the key is not known yet"
         others = [_record(stored) for stored in by_name.values()]
         return key, [record for record in others if record is not None]
 
     async def _make_key(self) -> bytes | None:
-        key = secrets.token_bytes(KEY_BYTES)
+        key = secrets.token_bytes(SHARED_KEY_BYTES)
         made = await self.store.create(
-            DAEMONS_KIND, KEY_NAME, {"key": key.hex()}
+            DAEMONS_KIND, SHARED_KEY_OBJECT_NAME, {"key": key.hex()}
         )
         match made:
             case Conflict() | StoreFailure():
--- a/src/auburnswitch/members/frames.py
+++ b/src/auburnswitch/members/frames.py
@@ -19,7 +19,7 @@
 from thriftpy2.transport import TCyBufferedTransport
 from thriftpy2.utils import serialize
 
-from auburnswitch.members.message_check import check_message
+from auburnswitch.members.message_validation import validate_message
 from auburnswitch.schema.peers import (
     ClaimsReply,
     ClaimsRequest,
@@ -88,7 +88,7 @@
         self.code = code
 
 
-def envelope_of(
+def wrap_message(
     body: Struct, *, call_id: int = 0, is_reply: bool = False
 ) -> Envelope:
     """Wraps a message in an envelope."""
@@ -97,7 +97,7 @@
     return envelope
 
 
-def body_of(envelope: Envelope) -> Struct:
+def unwrap_message(envelope: Envelope) -> Struct:
     """Returns the one message of an envelope.
 
     Raises:
@@ -113,7 +113,7 @@
     return bodies[0]
 
 
-def session_key(shared_key: bytes, *nonces: str) -> bytes:
+def derive_session_key(shared_key: bytes, *nonces: str) -> bytes:
     """Derives the key of one direction of a connection."""
     text = "\0".join(nonces).encode()
     return hmac.digest(shared_key, text, "sha256")
@@ -210,7 +210,7 @@
 
 def _decode(payload: bytes) -> Envelope:
     try:
-        check_message(payload)
+        validate_message(payload)
         envelope = Envelope()
         transport = TCyBufferedTransport(_PayloadReader(payload))
         envelope.read(_PROTOCOL.get_protocol(transport))
@@ -223,7 +223,7 @@
     "FrameError",
     "FrameReader",
     "FrameWriter",
-    "body_of",
-    "envelope_of",
-    "session_key",
+    "unwrap_message",
+    "wrap_message",
+    "derive_session_key",
 ]
--- a/src/auburnswitch/members/hash_ring.py
+++ b/src/auburnswitch/members/hash_ring.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-POINTS_PER_MEMBER: Final = 16
+VIRTUAL_NODES_PER_MEMBER: Final = 16
 _POINT_BYTES: Final = 8
 
 
@@ -34,7 +34,7 @@
         placed = sorted(
             (_point(f"{member}\0{number}"), member)
             for member in self.members
-            for number in range(POINTS_PER_MEMBER)
+            for number in range(VIRTUAL_NODES_PER_MEMBER)
         )
         self._points = [point for point, _ in placed]
         self._owners = [member for _, member in placed]
--- a/src/auburnswitch/members/isolation.py
+++ b/src/auburnswitch/members/isolation.py
@@ -6,23 +6,23 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.clock import monotonic_s
+from auburnswitch.members.member_view import is_majority
 from auburnswitch.members.peer_status import NEVER
-from auburnswitch.members.view import is_majority
 from auburnswitch.observe.logs import log_event
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.schema.objects import Roster
     from auburnswitch.schema.peers import Heartbeat
 
-READ_INTERVAL_S: Final = 1.0
-CHECK_INTERVAL_S: Final = 0.25
+STORE_READ_INTERVAL_S: Final = 1.0
+ISOLATION_CHECK_INTERVAL_S: Final = 0.25
 
 
-class Isolation:
+class IsolationDetector:
     """Tells whether the configuration may have moved on unseen.
 
     It can't have if someone in this group has just read the store, or if the
@@ -34,30 +34,36 @@
 
     Attributes:
         view: What is known of the members.
-        read_at: Tells when this daemon last read the store's configuration,
+        get_store_read_at: Tells when this daemon last read the store's configuration,
             in seconds of loop time.
         quorum_ids: The quorum set.
         isolated: New work was refused at the last update.
     """
 
-    __slots__ = ("isolated", "quorum_ids", "read_at", "roster_ids", "view")
+    __slots__ = (
+        "get_store_read_at",
+        "isolated",
+        "quorum_ids",
+        "roster_ids",
+        "view",
+    )
 
     def __init__(
-        self, *, view: MemberView, read_at: Callable[[], float]
+        self, *, view: MemberView, get_store_read_at: Callable[[], float]
     ) -> None:
         self.view = view
-        self.read_at = read_at
+        self.get_store_read_at = get_store_read_at
         self.roster_ids: frozenset[str] = frozenset()
         self.quorum_ids: frozenset[str] = frozenset()
         self.isolated = False
-        view.roster_listeners.append(self.note_roster)
+        view.roster_listeners.append(self.on_roster_change)
 
     def is_isolated(self) -> bool:
         """Tells whether new work must be refused now."""
         if self.has_majority():
             return False
         limit_s = self.view.settings.isolated_after_s
-        return self.store_age_s() >= limit_s
+        return self.group_store_read_age_s() >= limit_s
 
     def has_majority(self, within_s: float | None = None) -> bool:
         """Tells whether a majority of the quorum set was heard lately.
@@ -71,20 +77,20 @@
         if within_s is None:
             within_s = self.view.settings.isolated_after_s
         heard = self.view.heard_ids(within_s)
-        near = self.quorum_ids & (heard | {self.view.me.id})
+        near = self.quorum_ids & (heard | {self.view.local_member.id})
         return bool(heard) and is_majority(near, self.quorum_ids)
 
-    def own_age_s(self) -> float:
+    def own_store_read_age_s(self) -> float:
         """Returns the time since this daemon read the store."""
-        return monotonic_s() - self.read_at()
+        return monotonic_s() - self.get_store_read_at()
 
-    def store_age_s(self) -> float:
+    def group_store_read_age_s(self) -> float:
         """Returns the time since anyone in this group read the store."""
         heard = self.view.heard_ids(self.view.settings.isolated_after_s)
         reads = [self.view.peers[peer_id].store_read_at for peer_id in heard]
-        return monotonic_s() - max(self.read_at(), *reads, NEVER)
+        return monotonic_s() - max(self.get_store_read_at(), *reads, NEVER)
 
-    def note_roster(self, roster: Roster) -> None:
+    def on_roster_change(self, roster: Roster) -> None:
         """Applies what a newer roster changes to the quorum set."""
         members = frozenset(member.id for member in roster.members)
         kept = self.quorum_ids - (self.roster_ids - members)
@@ -96,12 +102,12 @@
         if self.quorum_ids != self.roster_ids and self.has_majority():
             heartbeat.quorum_ids = sorted(self.quorum_ids)
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def adopt_quorum_ids(self, heartbeat: Heartbeat) -> None:
         """Takes the quorum set of a group that has a majority."""
         if heartbeat.quorum_ids and not self.has_majority():
             self.quorum_ids = frozenset(heartbeat.quorum_ids)
 
-    def needs_read(self) -> bool:
+    def needs_store_read(self) -> bool:
         """Tells whether this daemon should read the store now.
 
         Without a majority, one member of the group reads it each second, and
@@ -109,21 +115,23 @@
         """
         if self.has_majority(self.view.settings.suspect_after_s):
             return False
-        rank = sum(i < self.view.me.id for i in self.view.live_ids())
-        return self.store_age_s() >= READ_INTERVAL_S * (1 + min(rank, 2) / 2)
+        rank = sum(i < self.view.local_member.id for i in self.view.live_ids())
+        return self.group_store_read_age_s() >= STORE_READ_INTERVAL_S * (
+            1 + min(rank, 2) / 2
+        )
 
     async def run(self, refresh: Callable[[], Awaitable[None]]) -> None:
         """Reads the store for ever whenever that is needed."""
         while True:
-            if self.needs_read():
+            if self.needs_store_read():
                 await refresh()
-            await asyncio.sleep(CHECK_INTERVAL_S)
+            await asyncio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
     def update(self) -> None:
         """Follows the daemons that come and go; logs changes."""
         if self.has_majority():
             self._follow()
-        awake_s = monotonic_s() - self.view.awake_since
+        awake_s = monotonic_s() - self.view.last_resumed_at
         isolated = self.is_isolated()
         if isolated and awake_s < self.view.settings.isolated_after_s:
             return  # it may just not have heard anyone yet
@@ -137,7 +145,7 @@
         gone_s = view.settings.remove_after_s
         gone = {
             member_id
-            for member_id in self.quorum_ids - {view.me.id}
+            for member_id in self.quorum_ids - {view.local_member.id}
             if member_id not in view.peers
             or view.peers[member_id].leaving
             or view.silence_s(member_id) >= gone_s
@@ -145,4 +153,4 @@
         self.quorum_ids = (self.quorum_ids - gone) | set(view.live_ids())
 
 
-__all__ = ["Isolation"]
+__all__ = ["IsolationDetector"]
--- a/src/auburnswitch/members/view.py
+++ b/src/auburnswitch/members/member_view.py
@@ -6,7 +6,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.members.peer_status import NEVER, PeerStatus
-from auburnswitch.members.rendezvous import rendezvous_first
+from auburnswitch.members.rendezvous import rendezvous_owner
 from auburnswitch.schema.objects import Member, Roster
 
 if TYPE_CHECKING:
@@ -19,76 +19,78 @@
     """The roster and the liveness of its members.
 
     Attributes:
-        me: This daemon.
+        local_member: This daemon.
         roster: The agreed membership as last seen.
         peers: Status of every known peer, by member id.
         leaving: This daemon is stopping.
-        awake_since: When this daemon started, or was last found to have been
+        last_resumed_at: When this daemon started, or was last found to have been
             paused, in seconds of loop time.
-        ticked_at: Loop time of the last tick, in seconds.
+        last_tick_at: Loop time of the last tick, in seconds.
         roster_listeners: Called with each newer roster.
         peer_listeners: Called when a peer appears or knows a newer epoch.
     """
 
     __slots__ = (
-        "awake_since",
+        "last_resumed_at",
+        "last_tick_at",
         "leaving",
-        "me",
+        "local_member",
         "peer_listeners",
         "peers",
         "roster",
         "roster_listeners",
         "settings",
-        "ticked_at",
     )
 
-    def __init__(self, *, me: Member, settings: MembersSettings) -> None:
-        self.me = me
+    def __init__(
+        self, *, local_member: Member, settings: MembersSettings
+    ) -> None:
+        self.local_member = local_member
         self.settings = settings
         self.roster = Roster()
         self.peers: dict[str, PeerStatus] = {}
         self.leaving = False
-        self.awake_since = self.ticked_at = monotonic_s()
+        self.last_resumed_at = self.last_tick_at = monotonic_s()
         self.roster_listeners: list[Callable[[Roster], None]] = []
         self.peer_listeners: list[Callable[[], None]] = []
 
-    def note_member(self, member: Member) -> PeerStatus | None:
+    def get_or_add_peer(self, member: Member) -> PeerStatus | None:
         """Returns the status of a member, which may be new; None for self."""
-        if member.id == self.me.id or not member.id:
+        if member.id == self.local_member.id or not member.id:
             return None
         status = self.peers.get(member.id)
         if status is None:
             status = self.peers[member.id] = PeerStatus(member=member)
-            self.note_change()
+            self.notify_peer_change()
         return status
 
-    def note_roster(self, roster: Roster) -> bool:
+    def adopt_roster(self, roster: Roster) -> bool:
         """Takes a newer roster; returns whether it was newer."""
         if roster.epoch <= self.roster.epoch:
             return False
         self.roster = roster
         for member in roster.members:
-            self.note_member(member)
+            self.get_or_add_peer(member)
         for listener in self.roster_listeners:
             listener(roster)
         return True
 
-    def note_change(self) -> None:
+    def notify_peer_change(self) -> None:
         """Tells the listeners that a peer's status has changed."""
         for listener in self.peer_listeners:
             listener()
 
-    def note_tick(self) -> None:
+    def detect_pause(self) -> None:
         """Notices, called at each heartbeat, that the process was paused.
 
         Silence of peers during a pause of this daemon proves nothing.
         """
         now = monotonic_s()
-        if now - self.ticked_at > self.settings.suspect_after_s:
-            self.awake_since = now
-        self.ticked_at = now
+        if now - self.last_tick_at > self.settings.suspect_after_s:
+            self.last_resumed_at = now
+        self.last_tick_at = now
 
-    def forget_departed(self) -> None:
+    def remove_departed_peers(self) -> None:
         """Forgets peers that are not in the roster and have gone silent."""
         members = set(self.roster_ids())
         gone = [
@@ -109,7 +111,7 @@
             if status.heard_at >= oldest and not status.leaving
         ]
         if not self.leaving:
-            live.append(self.me.id)
+            live.append(self.local_member.id)
         return sorted(live)
 
     def heard_ids(self, within_s: float) -> set[str]:
@@ -126,22 +128,24 @@
         heard = self.heard_ids(self.settings.suspect_after_s)
         return [self.peers[peer_id].member for peer_id in sorted(heard)]
 
-    def misses_peers_of(self, peer_id: str) -> bool:
+    def hears_unknown_members(self, peer_id: str) -> bool:
         """Tells whether a peer hears daemons that are not known here."""
         status = self.peers.get(peer_id)
         if status is None:
             return False
-        return bool(status.heard_ids - self.peers.keys() - {self.me.id})
+        return bool(
+            status.heard_ids - self.peers.keys() - {self.local_member.id}
+        )
 
     def owner_of(self, endpoint: str) -> str:
         """Returns the live member that owns an endpoint, for soft rights."""
-        return rendezvous_first(endpoint, self.live_ids())
+        return rendezvous_owner(endpoint, self.live_ids())
 
     def roster_ids(self) -> list[str]:
         """Returns the ids of the agreed members."""
         return [member.id for member in self.roster.members]
 
-    def is_gone(self, member_id: str) -> bool:
+    def has_departed(self, member_id: str) -> bool:
         """Tells whether a member has left the roster and is not heard."""
         if not self.roster.epoch or member_id in self.roster_ids():
             return False
@@ -152,7 +156,7 @@
         status = self.peers.get(member_id)
         if status is None:
             return 0.0
-        since = max(status.heard_at, status.first_seen_at, self.awake_since)
+        since = max(status.heard_at, status.first_seen_at, self.last_resumed_at)
         return monotonic_s() - since
 
     def silent_ids(self) -> list[str]:
@@ -168,7 +172,7 @@
 
     def knows_epoch(self, member_id: str) -> bool:
         """Tells whether a member is known to know the present epoch."""
-        if member_id == self.me.id:
+        if member_id == self.local_member.id:
             return True
         status = self.peers.get(member_id)
         return status is not None and status.known_epoch >= self.roster.epoch
@@ -181,11 +185,13 @@
 
     def hears_majority(self) -> bool:
         """Tells whether a majority of the roster was heard lately."""
-        heard = self.heard_ids(self.settings.suspect_after_s) | {self.me.id}
+        heard = self.heard_ids(self.settings.suspect_after_s) | {
+            self.local_member.id
+        }
         ids = self.roster_ids()
         return is_majority([i for i in ids if i in heard], ids)
 
-    def quorum_at(self) -> float:
+    def quorum_acked_at(self) -> float:
         """Returns the time up to which a majority has acknowledged the epoch.
 
         The result is the newest loop time t such that a majority of the
@@ -193,7 +199,7 @@
         or later with the present epoch; minus infinity if there is none.
         """
         ids = self.roster_ids()
-        if self.me.id not in ids:
+        if self.local_member.id not in ids:
             return NEVER
         times = sorted(
             (self._acked_at(peer_id) for peer_id in ids), reverse=True
@@ -203,10 +209,10 @@
     def has_quorum(self) -> bool:
         """Tells whether a majority has acknowledged within the lease."""
         oldest = monotonic_s() - self.settings.strict_lease_s
-        return self.quorum_at() > oldest
+        return self.quorum_acked_at() > oldest
 
     def _acked_at(self, member_id: str) -> float:
-        if member_id == self.me.id:
+        if member_id == self.local_member.id:
             return monotonic_s()
         status = self.peers.get(member_id)
         if status is None or status.acked_epoch != self.roster.epoch:
--- a/src/auburnswitch/members/service.py
+++ b/src/auburnswitch/members/membership.py
@@ -7,7 +7,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.members.frames import FrameError
-from auburnswitch.members.link import PeerLink
+from auburnswitch.members.peer_link import PeerLink
 from auburnswitch.schema.objects import Member
 from auburnswitch.schema.peers import (
     Done,
@@ -23,20 +23,20 @@
     from collections.abc import Callable
 
     from auburnswitch.configuration.state import ConfigState
-    from auburnswitch.members.connection import Dialer
-    from auburnswitch.members.departures import Departures
-    from auburnswitch.members.isolation import Isolation
-    from auburnswitch.members.server import PeerServer
-    from auburnswitch.members.strict import StrictRights
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.isolation import IsolationDetector
+    from auburnswitch.members.member_view import MemberView
+    from auburnswitch.members.ownership_leases import OwnershipLeases
+    from auburnswitch.members.peer_connection import Dialer
+    from auburnswitch.members.peer_server import PeerServer
+    from auburnswitch.members.termination_detector import TerminationDetector
     from auburnswitch.observe.tasks import TaskSet
     from auburnswitch.schema.objects import Roster
     from auburnswitch.schema.settings import Settings
 
 SEED_ID_PREFIX: Final = "seed:"
-LONGEST_AGE_S: Final = 1e9  # infinity is no time
+MAX_REPORTED_AGE_S: Final = 1e9  # infinity is no time
 HANDOVER_ATTEMPTS: Final = 5
-HANDOVER_RETRY_S: Final = 0.2
+HANDOVER_RETRY_DELAY_S: Final = 0.2
 
 
 class Membership:
@@ -44,31 +44,31 @@
 
     Attributes:
         view: What is known of the peers.
-        strict_rights: Strict rights of this daemon.
-        departures: Proof that members have ended.
+        ownership_leases: Strict rights of this daemon.
+        termination_detector: Proof that members have ended.
         isolation: Whether new work must be refused.
         links: Connection to each peer, by member id.
-        heartbeat_sources: Called to fill a heartbeat for one peer.
+        heartbeat_fillers: Called to fill a heartbeat for one peer.
         heartbeat_listeners: Called with each heartbeat received.
-        handover_sources: Called to fill a hand-over to a successor.
+        handover_fillers: Called to fill a hand-over to a successor.
         handover_listeners: Called with each hand-over received.
     """
 
     __slots__ = (
-        "departures",
         "dial",
+        "handover_fillers",
         "handover_listeners",
-        "handover_sources",
+        "heartbeat_fillers",
         "heartbeat_listeners",
-        "heartbeat_sources",
         "isolation",
         "link_tasks",
         "links",
+        "ownership_leases",
         "settings",
         "shared_key",
         "state",
-        "strict_rights",
         "tasks",
+        "termination_detector",
         "view",
     )
 
@@ -78,9 +78,9 @@
         settings: Settings,
         shared_key: bytes,
         view: MemberView,
-        strict_rights: StrictRights,
-        departures: Departures,
-        isolation: Isolation,
+        ownership_leases: OwnershipLeases,
+        termination_detector: TerminationDetector,
+        isolation: IsolationDetector,
         state: ConfigState,
         tasks: TaskSet,
         dial: Dialer = asyncio.open_connection,
@@ -88,17 +88,17 @@
         self.settings = settings
         self.shared_key = shared_key
         self.view = view
-        self.strict_rights = strict_rights
-        self.departures = departures
+        self.ownership_leases = ownership_leases
+        self.termination_detector = termination_detector
         self.isolation = isolation
         self.state = state
         self.tasks = tasks
         self.dial = dial
         self.links: dict[str, PeerLink] = {}
         self.link_tasks: dict[str, list[asyncio.Task[Any]]] = {}
-        self.heartbeat_sources: list[Callable[[Heartbeat, str], None]] = []
+        self.heartbeat_fillers: list[Callable[[Heartbeat, str], None]] = []
         self.heartbeat_listeners: list[Callable[[Heartbeat], None]] = []
-        self.handover_sources: list[Callable[[HandoverRequest], None]] = []
+        self.handover_fillers: list[Callable[[HandoverRequest], None]] = []
         self.handover_listeners: list[Callable[[HandoverRequest], None]] = []
         view.roster_listeners.append(self._note_roster)
 
@@ -112,8 +112,8 @@
         """Opens links to new peers and drops links to forgotten ones."""
         self._open_seed_links()
         while True:
-            self.view.note_tick()
-            self.view.forget_departed()
+            self.view.detect_pause()
+            self.view.remove_departed_peers()
             self._update_links()
             self.isolation.update()
             await asyncio.sleep(self.settings.members.heartbeat_interval_s)
@@ -122,16 +122,16 @@
         """Tells whether the configuration may have moved on unseen."""
         return self.isolation.is_isolated()
 
-    async def hand_over(self) -> None:
+    async def hand_over_leases(self) -> None:
         """Gives up all strict rights and tells the successors."""
-        requests = self.strict_rights.hand_over(self.state.endpoints)
+        requests = self.ownership_leases.release_all(self.state.endpoints)
         await self._send_handovers(requests)
 
     def _note_roster(self, _: Roster) -> None:
         self._update_links()
         for link in self.links.values():
-            link.beat_now.set()  # peers wait for this daemon to know it
-        requests = self.strict_rights.pass_on(self.state.endpoints)
+            link.heartbeat_requested.set()  # peers wait for this daemon to know it
+        requests = self.ownership_leases.release_lost(self.state.endpoints)
         if requests:
             self.tasks.start(self._send_handovers(requests), "hand over")
 
@@ -139,7 +139,7 @@
         self, requests: dict[str, HandoverRequest]
     ) -> None:
         for request in requests.values():
-            for source in self.handover_sources:
+            for source in self.handover_fillers:
                 source(request)
         calls = [
             self._tell(self.links[member_id], request)
@@ -150,9 +150,11 @@
 
     async def _tell(self, link: PeerLink, request: HandoverRequest) -> None:
         for _ in range(HANDOVER_ATTEMPTS):
-            if await link.call_or_drop(request) is not None:
+            if await link.try_call(request) is not None:
                 return
-            await asyncio.sleep(HANDOVER_RETRY_S)  # a new link is connecting
+            await asyncio.sleep(
+                HANDOVER_RETRY_DELAY_S
+            )  # a new link is connecting
 
     def _open_seed_links(self) -> None:
         for address in self.settings.members.seeds.split(","):
@@ -176,7 +178,7 @@
     def _open_link(self, member: Member) -> None:
         link = PeerLink(
             member=member,
-            member_id=self.view.me.id,
+            member_id=self.view.local_member.id,
             settings=self.settings.peers,
             shared_key=self.shared_key,
             seed=self.settings.daemon.seed,
@@ -197,7 +199,9 @@
         while True:
             if link.connection is not None and not self._is_spare(link):
                 await self._send_heartbeat(link)
-            await link.wait_beat(self.settings.members.heartbeat_interval_s)
+            await link.wait_for_heartbeat(
+                self.settings.members.heartbeat_interval_s
+            )
 
     def _is_spare(self, link: PeerLink) -> bool:
         """Tells whether a seed link's daemon has a link of its own by now."""
@@ -213,24 +217,26 @@
     async def _send_heartbeat(self, link: PeerLink) -> None:
         heartbeat = self._heartbeat(link.member.id)
         sent_at = heartbeat.sent_at
-        ack = await link.call_or_drop(heartbeat)
+        ack = await link.try_call(heartbeat)
         if isinstance(ack, HeartbeatAck):
             self._note_ack(ack, sent_at)
             await self._fetch_state(link, ack.epoch, ack.state_digest)
 
     def _heartbeat(self, peer_id: str) -> Heartbeat:
         heartbeat = Heartbeat(
-            sender=self.view.me,
+            sender=self.view.local_member,
             epoch=self.view.roster.epoch,
             sent_at=monotonic_s(),
             state_digest=self.state.digest,
             leaving=self.view.leaving,
             heard=self.view.live_ids(),
-            store_age_s=min(self.isolation.own_age_s(), LONGEST_AGE_S),
-            former_ids=self.departures.own_former_ids(),
+            store_age_s=min(
+                self.isolation.own_store_read_age_s(), MAX_REPORTED_AGE_S
+            ),
+            former_ids=self.termination_detector.own_former_ids(),
         )
         self.isolation.fill_heartbeat(heartbeat)
-        for source in self.heartbeat_sources:
+        for source in self.heartbeat_fillers:
             source(heartbeat, peer_id)
         return heartbeat
 
@@ -239,10 +245,10 @@
         if status is None:
             return
         known_epoch = status.known_epoch
-        status.note_ack(ack, sent_at)
-        self.strict_rights.note_ack()
+        status.record_ack(ack, sent_at)
+        self.ownership_leases.update_first_majority()
         if status.known_epoch > known_epoch:
-            self.view.note_change()
+            self.view.notify_peer_change()
 
     async def _fetch_state(
         self, link: PeerLink, epoch: int, digest: str
@@ -250,33 +256,33 @@
         current = (
             digest == self.state.digest and epoch <= self.view.roster.epoch
         )
-        if current and not self.view.misses_peers_of(link.member.id):
+        if current and not self.view.hears_unknown_members(link.member.id):
             return
         request = StateRequest(state_digest=self.state.digest)
-        reply = await link.call_or_drop(request)
+        reply = await link.try_call(request)
         if not isinstance(reply, StateReply):
             return
         self.state.join_snapshot(reply.snapshot)
         for member in reply.heard_members:
-            self.view.note_member(member)
+            self.view.get_or_add_peer(member)
         if reply.roster is not None:
-            self.view.note_roster(reply.roster)
+            self.view.adopt_roster(reply.roster)
 
     async def _on_heartbeat(self, heartbeat: Any, peer_id: str) -> HeartbeatAck:
         if heartbeat.sender is None or heartbeat.sender.id != peer_id:
             raise FrameError(ResultCode.BAD_FRAME, "not the sender's own")
-        status = self.view.note_member(heartbeat.sender)
+        status = self.view.get_or_add_peer(heartbeat.sender)
         if status is not None:
             known_epoch = status.known_epoch
-            status.note_heartbeat(heartbeat)
-            self.departures.note_former(heartbeat.former_ids)
-            self.isolation.note_heartbeat(heartbeat)
+            status.record_heartbeat(heartbeat)
+            self.termination_detector.record_former_ids(heartbeat.former_ids)
+            self.isolation.adopt_quorum_ids(heartbeat)
             if status.known_epoch > known_epoch:
-                self.view.note_change()
+                self.view.notify_peer_change()
         for listener in self.heartbeat_listeners:
             listener(heartbeat)
         return HeartbeatAck(
-            member_id=self.view.me.id,
+            member_id=self.view.local_member.id,
             epoch=self.view.roster.epoch,
             sent_at=heartbeat.sent_at,
             state_digest=self.state.digest,
@@ -285,7 +291,7 @@
 
     async def _on_handover(self, request: Any, peer_id: str) -> Done:
         if request.member_id == peer_id:
-            self.strict_rights.note_handover(request)
+            self.ownership_leases.record_handover(request)
             for listener in self.handover_listeners:
                 listener(request)
         return Done()
--- a/src/auburnswitch/members/message_check.py
+++ b/src/auburnswitch/members/message_validation.py
@@ -12,7 +12,7 @@
 
 from thriftpy2.thrift import TType
 
-MAX_DEPTH: Final = 64
+MAX_NESTING_DEPTH: Final = 64
 _FIXED_BYTES: Final = {
     TType.BOOL: 1,
     TType.BYTE: 1,
@@ -31,26 +31,26 @@
 _MAP_HEAD: Final = struct.Struct(">BBi")
 
 
-class MessageError(ValueError):
+class MalformedMessageError(ValueError):
     """A message is cut short, or claims what it does not hold."""
 
 
-def check_message(data: bytes) -> None:
+def validate_message(data: bytes) -> None:
     """Checks a struct in thrift's binary protocol.
 
     Raises:
-        MessageError: It is not a whole struct of known types.
+        MalformedMessageError: It is not a whole struct of known types.
     """
     try:
-        _skip_struct(data, 0, MAX_DEPTH)
+        _skip_struct(data, 0, MAX_NESTING_DEPTH)
     except (IndexError, struct.error) as error:
-        raise MessageError("the message is cut short") from error
+        raise MalformedMessageError("the message is cut short") from error
 
 
 def _skip_struct(data: bytes, at: int, depth: int) -> int:
     """Returns the offset after a struct."""
     if depth == 0:
-        raise MessageError("the message is nested too deep")
+        raise MalformedMessageError("the message is nested too deep")
     while kind := data[at]:  # zero ends the struct
         if kind in _FIXED_BYTES:  # most fields are, so without a call
             at += _FIELD_HEAD_BYTES + _FIXED_BYTES[kind]
@@ -76,7 +76,7 @@
         return _skip_items(data, at, (key, value), _count(size), depth - 1)
     if fixed := _FIXED_BYTES.get(kind):
         return at + fixed
-    raise MessageError(f"unknown type {kind}")
+    raise MalformedMessageError(f"unknown type {kind}")
 
 
 def _skip_items(
@@ -84,14 +84,14 @@
 ) -> int:
     """Returns the offset after the items of a list, a set or a map."""
     if depth == 0:
-        raise MessageError("the message is nested too deep")
+        raise MalformedMessageError("the message is nested too deep")
     if count == 0:
         return at
     sizes = [_FIXED_BYTES.get(kind) for kind in kinds]
     if None not in sizes:
         return at + count * sum(sizes)
     if count > len(data) - at:  # each item takes a byte at least
-        raise MessageError("the message is cut short")
+        raise MalformedMessageError("the message is cut short")
     for _ in range(count):
         for kind in kinds:
             at = _skip_value(data, at, kind, depth)
@@ -100,8 +100,8 @@
 
 def _count(size: int) -> int:
     if size < 0:
-        raise MessageError("a size is negative")
+        raise MalformedMessageError("a size is negative")
     return size
 
 
-__all__ = ["MessageError", "check_message"]
+__all__ = ["MalformedMessageError", "validate_message"]
--- a/src/auburnswitch/members/strict.py
+++ b/src/auburnswitch/members/ownership_leases.py
@@ -11,14 +11,14 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.members.history import RosterHistory
-from auburnswitch.members.rendezvous import rendezvous_first
+from auburnswitch.members.rendezvous import rendezvous_owner
+from auburnswitch.members.roster_history import RosterHistory
 from auburnswitch.schema.peers import HandoverRequest
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.schema.objects import Roster
 
 FIRST_EPOCH: Final = 1
@@ -34,25 +34,31 @@
         self.received_at = received_at
 
 
-class StrictRights:
+class OwnershipLeases:
     """Tracks majorities, tenures and hand-overs of one daemon.
 
     Attributes:
         view: What is known of the members.
         history: The rosters learned so far.
-        majority_at: Loop time of the first majority at each epoch, in seconds.
+        first_majority_at: Loop time of the first majority at each epoch, in seconds.
         relinquished: Endpoints that this daemon has handed over for good.
     """
 
-    __slots__ = ("handovers", "history", "majority_at", "relinquished", "view")
+    __slots__ = (
+        "first_majority_at",
+        "handovers",
+        "history",
+        "relinquished",
+        "view",
+    )
 
     def __init__(self, *, view: MemberView) -> None:
         self.view = view
         self.history = RosterHistory()
-        self.majority_at: dict[int, float] = {}
+        self.first_majority_at: dict[int, float] = {}
         self.relinquished: set[str] = set()
         self.handovers: dict[tuple[str, str], _Handover] = {}
-        view.roster_listeners.append(self.note_roster)
+        view.roster_listeners.append(self.on_roster_change)
 
     def owner_of(self, endpoint: str) -> str:
         """Returns the member that owns an endpoint by the roster."""
@@ -60,17 +66,17 @@
 
     def is_owner(self, endpoint: str) -> bool:
         """Tells whether this daemon owns an endpoint by the roster."""
-        return self.owner_of(endpoint) == self.view.me.id
+        return self.owner_of(endpoint) == self.view.local_member.id
 
-    def may_use(self, endpoint: str) -> bool:
+    def holds_lease(self, endpoint: str) -> bool:
         """Tells whether this daemon may make a strict use now.
 
         The answer holds for this moment only: ask before each use, and use it
         before the next ``await``.
         """
-        return self.wait_s(endpoint) <= 0
+        return self.lease_wait_s(endpoint) <= 0
 
-    def wait_s(self, endpoint: str) -> float:
+    def lease_wait_s(self, endpoint: str) -> float:
         """Returns the time until strict rights may begin, in seconds.
 
         Returns:
@@ -84,21 +90,23 @@
         begins_at = self._begins_at(endpoint, self.history.epoch)
         return max(0.0, begins_at - monotonic_s())
 
-    def note_roster(self, roster: Roster) -> None:
+    def on_roster_change(self, roster: Roster) -> None:
         """Takes a newer roster."""
-        self.history.note(roster)
-        for epoch in self.majority_at.keys() - self.history.member_ids.keys():
-            del self.majority_at[epoch]
+        self.history.append(roster)
+        for epoch in (
+            self.first_majority_at.keys() - self.history.member_ids.keys()
+        ):
+            del self.first_majority_at[epoch]
         self._drop_handovers()
-        self.note_ack()
+        self.update_first_majority()
 
-    def note_ack(self) -> None:
+    def update_first_majority(self) -> None:
         """Notes the first majority at the present epoch once it is there."""
         epoch = self.history.epoch
-        if epoch in self.majority_at or not epoch:
+        if epoch in self.first_majority_at or not epoch:
             return
         if self.view.has_quorum():
-            self.majority_at[epoch] = monotonic_s()
+            self.first_majority_at[epoch] = monotonic_s()
 
     def _drop_handovers(self) -> None:
         """Forgets hand-overs of epochs that are no longer remembered."""
@@ -109,13 +117,15 @@
             if handover.epoch in known or handover.epoch > self.history.epoch
         }
 
-    def note_handover(self, request: HandoverRequest) -> None:
+    def record_handover(self, request: HandoverRequest) -> None:
         """Takes a predecessor's word that it makes no more strict use."""
         handover = _Handover(epoch=request.epoch, received_at=monotonic_s())
         for endpoint in request.endpoints:
             self.handovers[endpoint, request.member_id] = handover
 
-    def hand_over(self, endpoints: Iterable[str]) -> dict[str, HandoverRequest]:
+    def release_all(
+        self, endpoints: Iterable[str]
+    ) -> dict[str, HandoverRequest]:
         """Gives up strict rights for good and says to whom.
 
         Call it when this daemon leaves. The rights end with the call, so the
@@ -129,14 +139,18 @@
         """
         epoch = self.history.epoch
         owned = [name for name in endpoints if self.is_owner(name)]
-        heirs = [i for i in self.view.roster_ids() if i != self.view.me.id]
+        heirs = [
+            i for i in self.view.roster_ids() if i != self.view.local_member.id
+        ]
         requests = self._requests(
-            {name: rendezvous_first(name, heirs) for name in owned}, epoch
+            {name: rendezvous_owner(name, heirs) for name in owned}, epoch
         )
         self.relinquished.update(owned)
         return requests
 
-    def pass_on(self, endpoints: Iterable[str]) -> dict[str, HandoverRequest]:
+    def release_lost(
+        self, endpoints: Iterable[str]
+    ) -> dict[str, HandoverRequest]:
         """Says to whom strict rights went with the newest roster.
 
         Call it after each newer roster. This daemon makes no more strict use
@@ -149,7 +163,7 @@
             The message for each successor, by member id.
         """
         before = self.history.epoch - 1
-        me = self.view.me.id
+        me = self.view.local_member.id
         lost = {
             name: self.owner_of(name)
             for name in endpoints
@@ -168,23 +182,30 @@
             if not heir or self._begins_at(endpoint, epoch) > now:
                 continue
             request = requests.setdefault(
-                heir, HandoverRequest(member_id=self.view.me.id, epoch=epoch)
+                heir,
+                HandoverRequest(
+                    member_id=self.view.local_member.id, epoch=epoch
+                ),
             )
             request.endpoints.append(endpoint)
         return requests
 
     def _begins_at(self, endpoint: str, epoch: int) -> float:
         """Returns when the tenure that includes an epoch may first be used."""
-        start = self.history.tenure_start(endpoint, epoch)
+        start = self.history.ownership_start_epoch(endpoint, epoch)
         if start == FIRST_EPOCH:
             return -math.inf  # there was no owner before
-        majority_at = min(
-            (at for e, at in self.majority_at.items() if start <= e <= epoch),
+        first_majority_at = min(
+            (
+                at
+                for e, at in self.first_majority_at.items()
+                if start <= e <= epoch
+            ),
             default=math.inf,
         )
         ttl_s = self.view.settings.reservation_ttl_s
         return min(
-            majority_at + self.view.settings.strict_lease_s + ttl_s,
+            first_majority_at + self.view.settings.strict_lease_s + ttl_s,
             self._handed_over_at(endpoint, start) + ttl_s,
         )
 
@@ -193,10 +214,10 @@
         handover = self.handovers.get((endpoint, predecessor))
         if not predecessor or handover is None:
             return math.inf
-        since = self.history.tenure_start(endpoint, start - 1)
+        since = self.history.ownership_start_epoch(endpoint, start - 1)
         if not since <= handover.epoch < start:
             return math.inf
         return handover.received_at
 
 
-__all__ = ["StrictRights"]
+__all__ = ["OwnershipLeases"]
--- a/src/auburnswitch/members/connection.py
+++ b/src/auburnswitch/members/peer_connection.py
@@ -11,9 +11,9 @@
     FrameError,
     FrameReader,
     FrameWriter,
-    body_of,
-    envelope_of,
-    session_key,
+    derive_session_key,
+    unwrap_message,
+    wrap_message,
 )
 from auburnswitch.observe.logs import log_event
 from auburnswitch.schema.events import EventId
@@ -40,7 +40,7 @@
 
     Attributes:
         peer_id: Member at the other end.
-        pending: Calls that wait for a reply, by call id.
+        pending_calls: Calls that wait for a reply, by call id.
         max_unsent_bytes: Unsent bytes above which the connection is dropped.
     """
 
@@ -50,7 +50,7 @@
         "max_unsent_bytes",
         "next_call_id",
         "peer_id",
-        "pending",
+        "pending_calls",
         "reader",
         "writer",
     )
@@ -71,7 +71,7 @@
         self.frame_reader = frame_reader
         self.frame_writer = frame_writer
         self.max_unsent_bytes = max_unsent_bytes
-        self.pending: dict[int, asyncio.Future[Struct]] = {}
+        self.pending_calls: dict[int, asyncio.Future[Struct]] = {}
         self.next_call_id = 1
 
     async def receive(self) -> Envelope:
@@ -80,9 +80,9 @@
             envelope = await self.frame_reader.read(self.reader)
             if not envelope.is_reply:
                 return envelope
-            waiter = self.pending.pop(envelope.call_id, None)
+            waiter = self.pending_calls.pop(envelope.call_id, None)
             if waiter is not None and not waiter.done():
-                waiter.set_result(body_of(envelope))
+                waiter.set_result(unwrap_message(envelope))
 
     def send(self, envelope: Envelope) -> None:
         """Sends a message without waiting for the peer.
@@ -96,7 +96,7 @@
             raise ConnectionResetError("connection ended")
         if transport.get_write_buffer_size() > self.max_unsent_bytes:
             log_event(EventId.PEER_STALLED, peer=self.peer_id)
-            self.drop()
+            self.abort()
             raise ConnectionResetError("the peer does not read")
         self.writer.write(self.frame_writer.encode(envelope))
 
@@ -110,27 +110,27 @@
         call_id = self.next_call_id
         self.next_call_id += 1
         waiter: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self.pending[call_id] = waiter
+        self.pending_calls[call_id] = waiter
         try:
-            self.send(envelope_of(body, call_id=call_id))
+            self.send(wrap_message(body, call_id=call_id))
             async with asyncio.timeout(timeout_s):
                 return await waiter
         finally:
-            self.pending.pop(call_id, None)
+            self.pending_calls.pop(call_id, None)
 
     def reply(self, envelope: Envelope, body: Struct) -> None:
         """Sends the reply to a received call."""
-        self.send(envelope_of(body, call_id=envelope.call_id, is_reply=True))
+        self.send(wrap_message(body, call_id=envelope.call_id, is_reply=True))
 
     def close(self) -> None:
         """Ends the connection and fails the pending calls."""
-        for waiter in self.pending.values():
+        for waiter in self.pending_calls.values():
             if not waiter.done():
                 waiter.set_exception(ConnectionResetError("connection ended"))
-        self.pending.clear()
+        self.pending_calls.clear()
         self.writer.close()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Ends the connection without sending what is still unsent."""
         self.close()
         self.writer.transport.abort()
@@ -207,20 +207,20 @@
     is_client: bool,
 ) -> PeerConnection:
     hello = Hello(member_id=member_id, nonce=secrets.token_hex(16))
-    first = FrameWriter(key=session_key(shared_key, "hello"))
-    writer.write(first.encode(envelope_of(hello)))
+    first = FrameWriter(key=derive_session_key(shared_key, "hello"))
+    writer.write(first.encode(wrap_message(hello)))
     hello_reader = FrameReader(
-        key=session_key(shared_key, "hello"), max_bytes=MAX_HELLO_BYTES
+        key=derive_session_key(shared_key, "hello"), max_bytes=MAX_HELLO_BYTES
     )
-    other = body_of(await hello_reader.read(reader))
+    other = unwrap_message(await hello_reader.read(reader))
     if not isinstance(other, Hello) or not other.member_id:
         raise FrameError(ResultCode.BAD_FRAME, "a hello was expected")
     if other.protocol_version != hello.protocol_version:
         raise FrameError(ResultCode.BAD_FRAME, "another protocol version")
     client, server = (hello, other) if is_client else (other, hello)
     nonces = (client.nonce, server.nonce)
-    to_server = session_key(shared_key, "to server", *nonces)
-    to_client = session_key(shared_key, "to client", *nonces)
+    to_server = derive_session_key(shared_key, "to server", *nonces)
+    to_client = derive_session_key(shared_key, "to client", *nonces)
     send_key, receive_key = (
         (to_server, to_client) if is_client else (to_client, to_server)
     )
--- a/src/auburnswitch/members/link.py
+++ b/src/auburnswitch/members/peer_link.py
@@ -6,20 +6,20 @@
 import random
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.members.connection import connect_peer
 from auburnswitch.members.frames import FrameError
+from auburnswitch.members.peer_connection import connect_peer
 from auburnswitch.observe.logs import log_event
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
-    from auburnswitch.members.connection import Dialer, PeerConnection
+    from auburnswitch.members.peer_connection import Dialer, PeerConnection
     from auburnswitch.schema.base import Struct
     from auburnswitch.schema.objects import Member
     from auburnswitch.schema.settings import PeersSettings
 
-FIRST_DELAY_S: Final = 0.1
-LONGEST_DELAY_S: Final = 2.0
-MAX_TIMEOUTS: Final = 3
+INITIAL_BACKOFF_S: Final = 0.1
+MAX_BACKOFF_S: Final = 2.0
+MAX_CONSECUTIVE_TIMEOUTS: Final = 3
 
 
 class PeerLink:
@@ -28,20 +28,20 @@
     Attributes:
         member: The peer.
         connection: The open connection, if there is one.
-        timeouts: Heartbeats in a row that had no answer in time.
-        beat_now: Set when the next heartbeat should not wait.
+        consecutive_timeouts: Heartbeats in a row that had no answer in time.
+        heartbeat_requested: Set when the next heartbeat should not wait.
     """
 
     __slots__ = (
-        "beat_now",
         "connection",
+        "consecutive_timeouts",
         "dial",
+        "heartbeat_requested",
         "member",
         "member_id",
-        "random",
+        "rng",
         "settings",
         "shared_key",
-        "timeouts",
     )
 
     def __init__(
@@ -58,15 +58,15 @@
         self.member_id = member_id
         self.settings = settings
         self.shared_key = shared_key
-        self.random = random.Random(f"{seed}{member.id}")
+        self.rng = random.Random(f"{seed}{member.id}")
         self.dial = dial
-        self.beat_now = asyncio.Event()
-        self.timeouts = 0
+        self.heartbeat_requested = asyncio.Event()
+        self.consecutive_timeouts = 0
         self.connection: PeerConnection | None = None
 
     async def run(self) -> None:
         """Connects, reads replies, and reconnects after a delay."""
-        delay_s = FIRST_DELAY_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
                 async with connect_peer(
@@ -77,7 +77,7 @@
                     settings=self.settings,
                     dial=self.dial,
                 ) as connection:
-                    delay_s = FIRST_DELAY_S
+                    backoff_s = INITIAL_BACKOFF_S
                     await self._use(connection)
             except FrameError as error:
                 log_event(
@@ -88,14 +88,14 @@
                 )
             except (OSError, EOFError, TimeoutError):
                 pass  # the peer is away; try again
-            await asyncio.sleep(delay_s * self.random.uniform(0.5, 1.0))
-            delay_s = min(2 * delay_s, LONGEST_DELAY_S)
+            await asyncio.sleep(backoff_s * self.rng.uniform(0.5, 1.0))
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def _use(self, connection: PeerConnection) -> None:
         log_event(EventId.PEER_CONNECTED, peer=self.member.id)
         self.connection = connection
-        self.timeouts = 0
-        self.beat_now.set()
+        self.consecutive_timeouts = 0
+        self.heartbeat_requested.set()
         try:
             while True:
                 await connection.receive()
@@ -103,14 +103,14 @@
             self.connection = None
             log_event(EventId.PEER_DISCONNECTED, peer=self.member.id)
 
-    async def wait_beat(self, interval_s: float) -> None:
+    async def wait_for_heartbeat(self, interval_s: float) -> None:
         """Waits for the time, or the wish, of the next heartbeat."""
         try:
             async with asyncio.timeout(interval_s):
-                await self.beat_now.wait()
+                await self.heartbeat_requested.wait()
         except TimeoutError:
             return
-        self.beat_now.clear()
+        self.heartbeat_requested.clear()
 
     async def call(
         self, body: Struct, timeout_s: float | None = None
@@ -126,7 +126,7 @@
         timeout_s = timeout_s or self.settings.call_timeout_s
         return await self.connection.call(body, timeout_s)
 
-    async def call_or_drop(self, body: Struct) -> Struct | None:
+    async def try_call(self, body: Struct) -> Struct | None:
         """Calls the peer; drops the connection if it keeps silent.
 
         Returns:
@@ -136,14 +136,17 @@
         try:
             reply = await self.call(body)
         except TimeoutError:
-            self.timeouts += 1
-            if self.timeouts >= MAX_TIMEOUTS and connection is not None:
-                self.timeouts = 0
-                connection.drop()
+            self.consecutive_timeouts += 1
+            if (
+                self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
+                and connection is not None
+            ):
+                self.consecutive_timeouts = 0
+                connection.abort()
             return None
         except (OSError, FrameError):
             return None
-        self.timeouts = 0
+        self.consecutive_timeouts = 0
         return reply
 
 
--- a/src/auburnswitch/members/server.py
+++ b/src/auburnswitch/members/peer_server.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.http_server import ListenError
-from auburnswitch.members.connection import accept_peer
-from auburnswitch.members.frames import FrameError, body_of
+from auburnswitch.members.frames import FrameError, unwrap_message
+from auburnswitch.members.peer_connection import accept_peer
 from auburnswitch.observe.logs import log_event
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.events import EventId
@@ -16,13 +16,13 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
 
-    from auburnswitch.members.connection import PeerConnection
+    from auburnswitch.members.peer_connection import PeerConnection
     from auburnswitch.observe.tasks import TaskSet
     from auburnswitch.schema.base import Struct
     from auburnswitch.schema.peers import Envelope
     from auburnswitch.schema.settings import PeersSettings
 
-    Handler = Callable[[Struct, str], Awaitable[Struct | None]]
+    MessageHandler = Callable[[Struct, str], Awaitable[Struct | None]]
 
 CLOSE_TIMEOUT_S: Final = 1.0
 
@@ -40,11 +40,11 @@
     """
 
     __slots__ = (
+        "connection_tasks",
         "connections",
         "handlers",
         "member_id",
         "port",
-        "serving",
         "settings",
         "shared_key",
     )
@@ -55,10 +55,10 @@
         self.settings = settings
         self.member_id = member_id
         self.shared_key = shared_key
-        self.handlers: dict[type[Struct], Handler] = {}
+        self.handlers: dict[type[Struct], MessageHandler] = {}
         self.port = settings.port
         self.connections: set[asyncio.StreamWriter] = set()
-        self.serving: set[asyncio.Task[None]] = set()
+        self.connection_tasks: set[asyncio.Task[None]] = set()
 
     @contextlib.asynccontextmanager
     async def open(self) -> AsyncIterator[None]:
@@ -80,16 +80,18 @@
             server.close()
             for writer in list(self.connections):
                 writer.transport.abort()
-            if self.serving:
-                await asyncio.wait(self.serving, timeout=CLOSE_TIMEOUT_S)
+            if self.connection_tasks:
+                await asyncio.wait(
+                    self.connection_tasks, timeout=CLOSE_TIMEOUT_S
+                )
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self.serving.add(task)
-        task.add_done_callback(self.serving.discard)
+        self.connection_tasks.add(task)
+        task.add_done_callback(self.connection_tasks.discard)
         self.connections.add(writer)
         try:
             connection = await accept_peer(
@@ -117,7 +119,9 @@
         while True:
             await room.acquire()
             envelope = await connection.receive()
-            call = self._answer(connection, envelope, body_of(envelope), room)
+            call = self._answer(
+                connection, envelope, unwrap_message(envelope), room
+            )
             tasks.start(call, "peer call")
 
     async def _answer(
--- a/src/auburnswitch/members/peer_status.py
+++ b/src/auburnswitch/members/peer_status.py
@@ -55,7 +55,7 @@
         self.state_digest = ""
         self.store_read_at = NEVER
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Takes what a heartbeat of the peer says."""
         now = monotonic_s()
         self.heard_at = now
@@ -66,7 +66,7 @@
         read_at = now - max(0.0, heartbeat.store_age_s)
         self.store_read_at = max(self.store_read_at, read_at)
 
-    def note_ack(self, ack: HeartbeatAck, sent_at: float) -> None:
+    def record_ack(self, ack: HeartbeatAck, sent_at: float) -> None:
         """Takes an acknowledgement.
 
         Args:
--- a/src/auburnswitch/members/relay_table.py
+++ b/src/auburnswitch/members/relay_selector.py
@@ -9,66 +9,73 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.members.rendezvous import rendezvous_first
+from auburnswitch.members.rendezvous import rendezvous_owner
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from auburnswitch.members.peer import Peer
+    from auburnswitch.members.gossip_peer import GossipPeer
     from auburnswitch.schema.gossip import DaemonRecord
 
-REFRESH_S: Final = 0.25
-STRONG_SHARE: Final = 0.5
+RELAY_REFRESH_INTERVAL_S: Final = 0.25
+MIN_LINK_SPEED_RATIO: Final = 0.5
 
 
-class RelayTable:
+class RelaySelector:
     """The relay of each zone: the first live daemon in rendezvous order.
 
     Attributes:
-        me: This daemon's record.
+        local_record: This daemon's record.
         live_peers: Returns the peers that were heard of lately.
     """
 
-    __slots__ = ("_refreshed_at", "_relays", "live_peers", "me")
+    __slots__ = ("_refreshed_at", "_relays", "live_peers", "local_record")
 
     def __init__(
-        self, *, me: DaemonRecord, live_peers: Callable[[], list[Peer]]
+        self,
+        *,
+        local_record: DaemonRecord,
+        live_peers: Callable[[], list[GossipPeer]],
     ) -> None:
-        self.me = me
+        self.local_record = local_record
         self.live_peers = live_peers
         self._relays: dict[str, str] = {}
-        self._refreshed_at = -REFRESH_S
+        self._refreshed_at = -RELAY_REFRESH_INTERVAL_S
 
-    def relay_of(self, zone: str) -> str:
+    def relay_for(self, zone: str) -> str:
         """Returns the instance of a zone's relay, empty if none is live."""
         now = monotonic_s()
-        if now - self._refreshed_at >= REFRESH_S:
+        if now - self._refreshed_at >= RELAY_REFRESH_INTERVAL_S:
             self._refreshed_at = now
             self._relays = self._choose()
         return self._relays.get(zone, "")
 
     def is_relay(self) -> bool:
         """Whether this daemon passes on in its own zone."""
-        return self.relay_of(self.me.zone) == self.me.instance
+        return (
+            self.relay_for(self.local_record.zone) == self.local_record.instance
+        )
 
     def _choose(self) -> dict[str, str]:
-        zones = {self.me.zone: [self.me]}
+        zones = {self.local_record.zone: [self.local_record]}
         for peer in self.live_peers():
             zones.setdefault(peer.record.zone, []).append(peer.record)
         return {
-            zone: rendezvous_first(f"relay {zone}", strongest(records))
+            zone: rendezvous_owner(
+                f"relay {zone}", fastest_link_instances(records)
+            )
             for zone, records in zones.items()
         }
 
 
-def strongest(records: list[DaemonRecord]) -> list[str]:
+def fastest_link_instances(records: list[DaemonRecord]) -> list[str]:
     """Returns the instances whose links are not much slower than the best."""
     best = max((record.link_mbps for record in records), default=0.0)
     return [
         record.instance
         for record in records
-        if record.link_mbps >= best * STRONG_SHARE
+        if record.link_mbps >= best * MIN_LINK_SPEED_RATIO
     ]
 
 
-__all__ = ["RelayTable", "strongest"]
+__all__ = ["RelaySelector", "fastest_link_instances"]
--- a/src/auburnswitch/members/rendezvous.py
+++ b/src/auburnswitch/members/rendezvous.py
@@ -23,11 +23,11 @@
     )
 
 
-def rendezvous_first(name: str, member_ids: Iterable[str]) -> str:
+def rendezvous_owner(name: str, member_ids: Iterable[str]) -> str:
     """Returns the member that owns a name, empty if there are no members."""
     return max(
         member_ids, key=lambda member_id: _score(name, member_id), default=""
     )
 
 
-__all__ = ["rendezvous_first", "rendezvous_order"]
+__all__ = ["rendezvous_owner", "rendezvous_order"]
--- a/src/auburnswitch/members/roster.py
+++ b/src/auburnswitch/members/roster.py
@@ -10,11 +10,11 @@
 from expression import Result
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.members.changes import (
-    ChangePlanner,
+from auburnswitch.members.roster_changes import (
     RemoveMember,
     RosterChange,
-    changed_roster,
+    RosterChangePlanner,
+    apply_roster_change,
 )
 from auburnswitch.object_store.store import (
     ABSENT,
@@ -29,16 +29,16 @@
 from auburnswitch.schema.objects import Roster
 
 if TYPE_CHECKING:
-    from auburnswitch.members.departures import Departures
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
+    from auburnswitch.members.termination_detector import TerminationDetector
     from auburnswitch.object_store.store import ObjectStore
 
 ROSTER_KEY: Final = CONFIG_PREFIX + "roster/default"
-CHECK_INTERVAL_S: Final = 0.5
-FIRST_DELAY_S: Final = 0.2
-LONGEST_DELAY_S: Final = 5.0
+ROSTER_CHECK_INTERVAL_S: Final = 0.5
+INITIAL_BACKOFF_S: Final = 0.2
+MAX_BACKOFF_S: Final = 5.0
 LEAVE_TIMEOUT_S: Final = 3.0
-CONFLICT_SPREAD_S: Final = 0.1
+MAX_CONFLICT_JITTER_S: Final = 0.1
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -49,7 +49,7 @@
     version: int
 
 
-class RosterKeeper:
+class RosterManager:
     """Changes the roster by conditional updates only.
 
     At rest it makes no call: the store's watch brings each new roster.
@@ -58,24 +58,24 @@
         store: The platform's store.
         view: What is known of the members.
         planner: Decides on the next change.
-        departures: Proof that members have ended.
-        synced: Set once the store's objects have been listed.
+        termination_detector: Proof that members have ended.
+        store_synced: Set once the store's objects have been listed.
         stored: Newest roster read from the store.
-        woken: Set when there may be something to do.
+        wake_event: Set when there may be something to do.
     """
 
     __slots__ = (
-        "delay_s",
-        "departures",
+        "backoff_s",
+        "last_quorum_at",
         "planner",
-        "quorum_seen_at",
-        "random",
+        "quorum_loss_reported",
+        "rng",
         "store",
+        "store_synced",
         "stored",
-        "synced",
+        "termination_detector",
         "view",
-        "waiting",
-        "woken",
+        "wake_event",
     )
 
     def __init__(
@@ -83,23 +83,25 @@
         *,
         store: ObjectStore,
         view: MemberView,
-        departures: Departures,
-        synced: asyncio.Event,
+        termination_detector: TerminationDetector,
+        store_synced: asyncio.Event,
         seed: int,
     ) -> None:
         self.store = store
         self.view = view
-        self.departures = departures
-        self.synced = synced
-        self.planner = ChangePlanner(view=view, departures=departures)
-        self.random = random.Random(f"{seed}{view.me.id}")
+        self.termination_detector = termination_detector
+        self.store_synced = store_synced
+        self.planner = RosterChangePlanner(
+            view=view, termination_detector=termination_detector
+        )
+        self.rng = random.Random(f"{seed}{view.local_member.id}")
         self.stored: StoredRoster | None = None
-        self.woken = asyncio.Event()
-        self.delay_s = 0.0
-        self.quorum_seen_at = monotonic_s()
-        self.waiting = False
-        view.peer_listeners.append(self.woken.set)
-        view.roster_listeners.append(lambda _: self.woken.set())
+        self.wake_event = asyncio.Event()
+        self.backoff_s = 0.0
+        self.last_quorum_at = monotonic_s()
+        self.quorum_loss_reported = False
+        view.peer_listeners.append(self.wake_event.set)
+        view.roster_listeners.append(lambda _: self.wake_event.set())
 
     def handle_object(self, item: StoredObject) -> None:
         """Takes a stored roster into the view."""
@@ -109,7 +111,7 @@
             return
         if self.stored is None or roster.epoch > self.stored.roster.epoch:
             self.stored = StoredRoster(roster=roster, version=item.version)
-        if self.view.note_roster(roster):
+        if self.view.adopt_roster(roster):
             log_event(
                 EventId.ROSTER_CHANGED,
                 epoch=roster.epoch,
@@ -119,21 +121,21 @@
     async def run(self) -> None:
         """Proposes changes for ever, one at a time."""
         while True:
-            self.woken.clear()
+            self.wake_event.clear()
             self._watch_quorum()
             change = None
-            if self.synced.is_set() and not self.view.leaving:
+            if self.store_synced.is_set() and not self.view.leaving:
                 change = await self._plan()
             if change is None or not await self._propose(change):
                 await self._rest()
 
     async def leave(self) -> None:
         """Takes this daemon out of the roster, if that can be done soon."""
-        change = RemoveMember(member_id=self.view.me.id)
+        change = RemoveMember(member_id=self.view.local_member.id)
         try:
             async with asyncio.timeout(LEAVE_TIMEOUT_S):
-                while self.view.me.id in self.view.roster_ids():
-                    self.woken.clear()
+                while self.view.local_member.id in self.view.roster_ids():
+                    self.wake_event.clear()
                     if not await self._propose(change):
                         await self._rest()
         except TimeoutError:
@@ -144,15 +146,15 @@
         view = self.view
         agrees = view.majority_knows_epoch() and view.hears_majority()
         if change is None and not agrees:
-            await self.departures.refresh()
+            await self.termination_detector.refresh()
             change = self.planner.next_change()
         return change
 
     async def _rest(self) -> None:
-        await asyncio.sleep(self.delay_s * self.random.uniform(0.5, 1.0))
+        await asyncio.sleep(self.backoff_s * self.rng.uniform(0.5, 1.0))
         try:
-            async with asyncio.timeout(CHECK_INTERVAL_S):
-                await self.woken.wait()
+            async with asyncio.timeout(ROSTER_CHECK_INTERVAL_S):
+                await self.wake_event.wait()
         except TimeoutError:
             return  # silence makes no event; look again
 
@@ -162,7 +164,7 @@
         stored = self.stored or StoredRoster(roster=Roster(), version=ABSENT)
         if stored.roster.epoch != epoch or not self.planner.may_propose(change):
             return stored.roster.epoch < epoch and await self._read()
-        roster = changed_roster(stored.roster, change)
+        roster = apply_roster_change(stored.roster, change)
         if len(roster.members) == len(stored.roster.members):
             return False
         put = await self.store.put(
@@ -173,7 +175,7 @@
                 self._take(roster, version, change)
                 return True
             case Result(error=VersionConflict()):
-                spread_s = self.random.uniform(0, CONFLICT_SPREAD_S)
+                spread_s = self.rng.uniform(0, MAX_CONFLICT_JITTER_S)
                 await asyncio.sleep(spread_s)
                 return await self._read()
             case Result(error=StoreUnavailable(outcome_unknown=True)):
@@ -182,7 +184,7 @@
         return False
 
     def _take(self, roster: Roster, version: int, change: RosterChange) -> None:
-        self.delay_s = 0.0
+        self.backoff_s = 0.0
         self.handle_object(
             StoredObject(key=ROSTER_KEY, version=version, value=to_json(roster))
         )
@@ -194,30 +196,33 @@
         before = self.stored
         match await self.store.get(ROSTER_KEY):
             case Result(tag="ok", ok=StoredObject() as item):
-                self.delay_s = 0.0
+                self.backoff_s = 0.0
                 self.handle_object(item)
             case _:
                 self._back_off()
         return self.stored is not before
 
     def _back_off(self) -> None:
-        self.delay_s = min(
-            max(2 * self.delay_s, FIRST_DELAY_S), LONGEST_DELAY_S
+        self.backoff_s = min(
+            max(2 * self.backoff_s, INITIAL_BACKOFF_S), MAX_BACKOFF_S
         )
 
     def _watch_quorum(self) -> None:
         """Raises an alarm while strict rights wait."""
         now = monotonic_s()
         if self.view.has_quorum():
-            self.quorum_seen_at = now
-            if self.waiting:
-                self.waiting = False
+            self.last_quorum_at = now
+            if self.quorum_loss_reported:
+                self.quorum_loss_reported = False
                 log_event(EventId.STRICT_RIGHTS_RESUMED)
             return
-        silence_s = now - max(self.quorum_seen_at, self.view.awake_since)
-        if silence_s < self.view.settings.remove_after_s or self.waiting:
+        silence_s = now - max(self.last_quorum_at, self.view.last_resumed_at)
+        if (
+            silence_s < self.view.settings.remove_after_s
+            or self.quorum_loss_reported
+        ):
             return
-        self.waiting = True
+        self.quorum_loss_reported = True
         log_event(
             EventId.STRICT_RIGHTS_WAITING,
             epoch=self.view.roster.epoch,
@@ -226,4 +231,4 @@
         )
 
 
-__all__ = ["ROSTER_KEY", "RosterKeeper"]
+__all__ = ["ROSTER_KEY", "RosterManager"]
--- a/src/auburnswitch/members/changes.py
+++ b/src/auburnswitch/members/roster_changes.py
@@ -9,11 +9,11 @@
 from auburnswitch.schema.objects import Roster
 
 if TYPE_CHECKING:
-    from auburnswitch.members.departures import Departures
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
+    from auburnswitch.members.termination_detector import TerminationDetector
     from auburnswitch.schema.objects import Member
 
-TURN_S: Final = 2.0
+PROPOSAL_STAGGER_S: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -38,7 +38,7 @@
 RosterChange = AddMember | RemoveMember
 
 
-def changed_roster(roster: Roster, change: RosterChange) -> Roster:
+def apply_roster_change(roster: Roster, change: RosterChange) -> Roster:
     """Returns the next epoch's roster."""
     members = [m for m in roster.members if m.id != change.member_id]
     match change:
@@ -47,7 +47,7 @@
     return Roster(epoch=roster.epoch + 1, members=members)
 
 
-class ChangePlanner:
+class RosterChangePlanner:
     """Decides which change this daemon should propose, if any.
 
     Every change adds or removes one member. It needs a majority that knows
@@ -57,26 +57,28 @@
 
     Attributes:
         view: What is known of the members.
-        departures: Proof that members have ended.
-        wanted_since: Loop time since which a change is wanted, in seconds, by
+        termination_detector: Proof that members have ended.
+        change_wanted_since: Loop time since which a change is wanted, in seconds, by
             the id of the member that it is about.
     """
 
-    __slots__ = ("departures", "view", "wanted_since")
+    __slots__ = ("change_wanted_since", "termination_detector", "view")
 
-    def __init__(self, *, view: MemberView, departures: Departures) -> None:
+    def __init__(
+        self, *, view: MemberView, termination_detector: TerminationDetector
+    ) -> None:
         self.view = view
-        self.departures = departures
-        self.wanted_since: dict[str, float] = {}
+        self.termination_detector = termination_detector
+        self.change_wanted_since: dict[str, float] = {}
 
     def next_change(self) -> RosterChange | None:
         """Returns the change to propose now."""
         wanted = self._wanted()
         self._note_wanted(wanted)
-        patience_s = self._rank() * TURN_S
+        patience_s = self._rank() * PROPOSAL_STAGGER_S
         now = monotonic_s()
         for change in wanted:
-            if now - self.wanted_since[change.member_id] >= patience_s:
+            if now - self.change_wanted_since[change.member_id] >= patience_s:
                 return change
         return None
 
@@ -86,11 +88,11 @@
             return True
         match change:
             case RemoveMember(member_id=member_id):
-                return member_id in self.departures.gone_ids()
+                return member_id in self.termination_detector.terminated_ids()
         return False
 
     def _wanted(self) -> list[RosterChange]:
-        gone = self.departures.gone_ids()
+        gone = self.termination_detector.terminated_ids()
         changes: list[RosterChange] = [RemoveMember(member_id=i) for i in gone]
         if not self.view.majority_knows_epoch():
             return changes
@@ -110,8 +112,8 @@
         return [AddMember(member=self._member(i)) for i in joining]
 
     def _member(self, member_id: str) -> Member:
-        if member_id == self.view.me.id:
-            return self.view.me
+        if member_id == self.view.local_member.id:
+            return self.view.local_member
         return self.view.peers[member_id].member
 
     def _is_leaving(self, member_id: str) -> bool:
@@ -120,8 +122,10 @@
 
     def _note_wanted(self, wanted: list[RosterChange]) -> None:
         now = monotonic_s()
-        self.wanted_since = {
-            change.member_id: self.wanted_since.get(change.member_id, now)
+        self.change_wanted_since = {
+            change.member_id: self.change_wanted_since.get(
+                change.member_id, now
+            )
             for change in wanted
         }
 
@@ -130,14 +134,14 @@
         members = [i for i in self.view.roster_ids() if i in live]
         others = [i for i in live if i not in members]
         order = members + others
-        me = self.view.me.id
+        me = self.view.local_member.id
         return order.index(me) if me in order else len(order)
 
 
 __all__ = [
     "AddMember",
-    "ChangePlanner",
+    "RosterChangePlanner",
     "RemoveMember",
     "RosterChange",
-    "changed_roster",
+    "apply_roster_change",
 ]
--- a/src/auburnswitch/members/history.py
+++ b/src/auburnswitch/members/roster_history.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.members.rendezvous import rendezvous_first
+from auburnswitch.members.rendezvous import rendezvous_owner
 
 if TYPE_CHECKING:
     from auburnswitch.schema.objects import Roster
 
-KEPT_EPOCHS: Final = 64
+RETAINED_EPOCHS: Final = 64
 
 
 class RosterHistory:
@@ -29,20 +29,20 @@
         self.epoch = 0
         self.member_ids: dict[int, tuple[str, ...]] = {}
 
-    def note(self, roster: Roster) -> None:
+    def append(self, roster: Roster) -> None:
         """Takes a newer roster."""
         if roster.epoch != self.epoch + 1:
             self.member_ids.clear()
         self.epoch = roster.epoch
         ids = tuple(member.id for member in roster.members)
         self.member_ids[roster.epoch] = ids
-        self.member_ids.pop(roster.epoch - KEPT_EPOCHS, None)
+        self.member_ids.pop(roster.epoch - RETAINED_EPOCHS, None)
 
     def owner_of(self, endpoint: str, epoch: int) -> str:
         """Returns the owner in an epoch, empty if it is not known."""
-        return rendezvous_first(endpoint, self.member_ids.get(epoch, ()))
+        return rendezvous_owner(endpoint, self.member_ids.get(epoch, ()))
 
-    def tenure_start(self, endpoint: str, through: int) -> int:
+    def ownership_start_epoch(self, endpoint: str, through: int) -> int:
         """Returns the first epoch of the tenure that includes an epoch.
 
         Args:
@@ -62,4 +62,4 @@
         return start
 
 
-__all__ = ["KEPT_EPOCHS", "RosterHistory"]
+__all__ = ["RETAINED_EPOCHS", "RosterHistory"]
--- a/src/auburnswitch/members/sealed_frames.py
+++ b/src/auburnswitch/members/signed_frames.py
@@ -15,13 +15,13 @@
 from thriftpy2.thrift import TDecodeException, TException
 from thriftpy2.utils import deserialize, serialize
 
-from auburnswitch.members.message_check import check_message
+from auburnswitch.members.message_validation import validate_message
 
 if TYPE_CHECKING:
     from auburnswitch.schema.base import Struct
 
 MAC_BYTES: Final = 16
-MIN_COMPRESSED_BYTES: Final = 300
+COMPRESSION_THRESHOLD_BYTES: Final = 300
 MAX_MESSAGE_BYTES: Final = 64 * 1024 * 1024
 _PLAIN: Final = b"\0"
 _COMPRESSED: Final = b"\1"
@@ -40,35 +40,35 @@
 StructT = TypeVar("StructT", bound="Struct")
 
 
-class SealedFrameError(Exception):
+class SignedFrameError(Exception):
     """A frame is not signed with the shared key or cannot be decoded."""
 
 
-def seal(key: bytes, message: Struct) -> bytes:
+def encode_signed(key: bytes, message: Struct) -> bytes:
     """Encodes and signs a message."""
     payload = serialize(message, _PROTOCOL)
-    if len(payload) < MIN_COMPRESSED_BYTES:
+    if len(payload) < COMPRESSION_THRESHOLD_BYTES:
         payload = _PLAIN + payload
     else:
         payload = _COMPRESSED + zlib.compress(payload, _FASTEST)
     return _mac(key, payload) + payload
 
 
-def unseal(key: bytes, frame: bytes, message: StructT) -> StructT:
+def decode_signed(key: bytes, frame: bytes, message: StructT) -> StructT:
     """Checks a frame and decodes it into an empty message.
 
     Raises:
-        SealedFrameError: The frame is not acceptable.
+        SignedFrameError: The frame is not acceptable.
     """
     mac, payload = frame[:MAC_BYTES], frame[MAC_BYTES:]
     if not hmac.compare_digest(mac, _mac(key, payload)):
-        raise SealedFrameError("wrong signature")
+        raise SignedFrameError("wrong signature")
     try:
         encoded = _expand(payload)
-        check_message(encoded)
+        validate_message(encoded)
         return deserialize(message, encoded, _PROTOCOL)
     except _DECODE_ERRORS as error:
-        raise SealedFrameError("cannot be decoded") from error
+        raise SignedFrameError("cannot be decoded") from error
 
 
 def _expand(payload: bytes) -> bytes:
@@ -86,4 +86,4 @@
     return hmac.digest(key, payload, "sha256")[:MAC_BYTES]
 
 
-__all__ = ["MAC_BYTES", "SealedFrameError", "seal", "unseal"]
+__all__ = ["MAC_BYTES", "SignedFrameError", "encode_signed", "decode_signed"]
--- a/src/auburnswitch/members/state_exchange.py
+++ b/src/auburnswitch/members/state_exchange.py
@@ -8,7 +8,11 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.http_server import ListenError
-from auburnswitch.members.sealed_frames import SealedFrameError, seal, unseal
+from auburnswitch.members.signed_frames import (
+    SignedFrameError,
+    decode_signed,
+    encode_signed,
+)
 from auburnswitch.observe.logs import log_event
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.gossip import StateFetch, StateUpdate
@@ -19,20 +23,20 @@
     from collections.abc import AsyncIterator, Callable
 
     from auburnswitch.configuration.installation import Installation
-    from auburnswitch.members.peer import Peer
+    from auburnswitch.members.gossip_peer import GossipPeer
     from auburnswitch.schema.base import Struct
     from auburnswitch.schema.gossip import Gossip
 
 EXCHANGE_TIMEOUT_S: Final = 0.8
-FETCH_DELAY_S: Final = 0.03
-FETCH_DELAY_PER_PEER_S: Final = 0.004
+MIN_FETCH_DELAY_S: Final = 0.03
+MAX_FETCH_DELAY_PER_PEER_S: Final = 0.004
 MAX_FRAME_BYTES: Final = 16 * 1024 * 1024
 _LENGTH: Final = struct.Struct(">I")
 _EXCHANGE_ERRORS: Final = (
     TimeoutError,
     OSError,
     asyncio.IncompleteReadError,
-    SealedFrameError,
+    SignedFrameError,
 )
 
 
@@ -44,15 +48,15 @@
         key: Returns the key that all daemons share, empty if not known.
         live_peers: Returns the peers that were heard of lately.
         zone: This daemon's availability zone.
-        chance: Source of chance.
+        rng: Source of chance.
     """
 
     __slots__ = (
         "_fetching",
-        "chance",
         "installation",
         "key",
         "live_peers",
+        "rng",
         "zone",
     )
 
@@ -61,15 +65,15 @@
         *,
         installation: Installation,
         key: Callable[[], bytes],
-        live_peers: Callable[[], list[Peer]],
+        live_peers: Callable[[], list[GossipPeer]],
         zone: str,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.installation = installation
         self.key = key
         self.live_peers = live_peers
         self.zone = zone
-        self.chance = chance
+        self.rng = rng
         self._fetching = False
 
     @contextlib.asynccontextmanager
@@ -108,20 +112,22 @@
         self._fetching = True
         try:
             peers = self.live_peers()
-            most_s = FETCH_DELAY_S + FETCH_DELAY_PER_PEER_S * len(peers)
-            await asyncio.sleep(self.chance.uniform(FETCH_DELAY_S, most_s))
-            ahead = [p for p in self.live_peers() if self.is_behind(p.news)]
+            most_s = MIN_FETCH_DELAY_S + MAX_FETCH_DELAY_PER_PEER_S * len(peers)
+            await asyncio.sleep(self.rng.uniform(MIN_FETCH_DELAY_S, most_s))
+            ahead = [
+                p for p in self.live_peers() if self.is_behind(p.last_message)
+            ]
             if ahead:
                 await self._fetch(self._choose(ahead))
         finally:
             self._fetching = False
 
-    def _choose(self, peers: list[Peer]) -> Peer:
+    def _choose(self, peers: list[GossipPeer]) -> GossipPeer:
         """Returns one of the peers, of this zone if there is one."""
         near = [peer for peer in peers if peer.record.zone == self.zone]
-        return self.chance.choice(near or peers)
+        return self.rng.choice(near or peers)
 
-    async def _fetch(self, peer: Peer) -> None:
+    async def _fetch(self, peer: GossipPeer) -> None:
         name = peer.record.instance
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
@@ -133,7 +139,7 @@
             return
         self._adopt(update, f"peer {name}")
 
-    async def _ask(self, peer: Peer) -> StateUpdate:
+    async def _ask(self, peer: GossipPeer) -> StateUpdate:
         reader, writer = await asyncio.open_connection(
             peer.record.host, peer.record.port
         )
@@ -146,7 +152,7 @@
             )
             _write_frame(writer, self.key(), fetch)
             frame = await _read_frame(reader)
-            return unseal(self.key(), frame, StateUpdate())
+            return decode_signed(self.key(), frame, StateUpdate())
         finally:
             writer.close()
 
@@ -164,7 +170,7 @@
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 frame = await _read_frame(reader)
-                fetch = unseal(self.key(), frame, StateFetch())
+                fetch = decode_signed(self.key(), frame, StateFetch())
                 _write_frame(writer, self.key(), self._update(fetch))
                 await writer.drain()
         except _EXCHANGE_ERRORS as error:
@@ -190,14 +196,14 @@
 def _write_frame(
     writer: asyncio.StreamWriter, key: bytes, message: Struct
 ) -> None:
-    frame = seal(key, message)
+    frame = encode_signed(key, message)
     writer.write(_LENGTH.pack(len(frame)) + frame)
 
 
 async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
-        raise SealedFrameError(f"{length} bytes are too many")
+        raise SignedFrameError(f"{length} bytes are too many")
     return await reader.readexactly(length)
 
 
--- a/src/auburnswitch/members/departures.py
+++ b/src/auburnswitch/members/termination_detector.py
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.object_store.store import ObjectStore
     from auburnswitch.schema.objects import Member
 
-LIST_INTERVAL_S: Final = 2.0
+INSTANCE_LIST_INTERVAL_S: Final = 2.0
 
 
-class Departures:
+class TerminationDetector:
     """Collects proof that members have ended.
 
     There are two proofs. A daemon that runs on a member's instance knows that
@@ -34,15 +34,15 @@
         view: What is known of the members.
         store: Reads the list of instances.
         former_ids: Members whose instances run a newer daemon.
-        listed: Names on the newest list of instances.
-        asked_at: Loop time at which that list was asked for, in seconds.
+        listed_instances: Names on the newest list of instances.
+        list_requested_at: Loop time at which that list was asked for, in seconds.
     """
 
     __slots__ = (
-        "asked_at",
+        "duplicate_member_id",
         "former_ids",
-        "listed",
-        "shared_with",
+        "list_requested_at",
+        "listed_instances",
         "store",
         "view",
     )
@@ -51,13 +51,15 @@
         self.view = view
         self.store = store
         self.former_ids: set[str] = set()
-        self.listed: frozenset[str] = frozenset()
-        self.asked_at = -math.inf
-        self.shared_with = ""
+        self.listed_instances: frozenset[str] = frozenset()
+        self.list_requested_at = -math.inf
+        self.duplicate_member_id = ""
 
-    def note_former(self, member_ids: Iterable[str]) -> None:
+    def record_former_ids(self, member_ids: Iterable[str]) -> None:
         """Takes what a peer says of its own former incarnations."""
-        self.former_ids.update(i for i in member_ids if i != self.view.me.id)
+        self.former_ids.update(
+            i for i in member_ids if i != self.view.local_member.id
+        )
 
     def own_former_ids(self) -> list[str]:
         """Returns this daemon's former incarnations in the roster."""
@@ -67,7 +69,7 @@
             if self._is_former_self(member)
         ]
 
-    def gone_ids(self) -> list[str]:
+    def terminated_ids(self) -> list[str]:
         """Returns the members of the roster that have certainly ended."""
         self.former_ids.update(self.own_former_ids())
         members = self.view.roster.members
@@ -87,15 +89,20 @@
             if self.view.silence_s(member_id) >= suspect_s
         ]
         now = monotonic_s()
-        if not silent or now - self.asked_at < LIST_INTERVAL_S:
+        if (
+            not silent
+            or now - self.list_requested_at < INSTANCE_LIST_INTERVAL_S
+        ):
             return
         match await self.store.instances():
             case Result(tag="ok", ok=instances):
-                self.listed = frozenset(item.name for item in instances)
-                self.asked_at = now
+                self.listed_instances = frozenset(
+                    item.name for item in instances
+                )
+                self.list_requested_at = now
 
     def _is_former_self(self, member: Member) -> bool:
-        me = self.view.me
+        me = self.view.local_member
         if member.instance != me.instance or member.id == me.id:
             return False
         suspect_s = self.view.settings.suspect_after_s
@@ -107,22 +114,25 @@
         return False
 
     def _note_shared(self, member_id: str) -> None:
-        if self.shared_with == member_id:
+        if self.duplicate_member_id == member_id:
             return
-        self.shared_with = member_id
+        self.duplicate_member_id = member_id
         log_event(
             EventId.INSTANCE_NAME_SHARED,
-            instance=self.view.me.instance,
+            instance=self.view.local_member.instance,
             member=member_id,
         )
 
     def _is_unlisted(self, member: Member) -> bool:
         status = self.view.peers.get(member.id)
-        if status is None or self.view.me.instance not in self.listed:
+        if (
+            status is None
+            or self.view.local_member.instance not in self.listed_instances
+        ):
             return False
         lag_s = self.view.settings.instances_lag_s
-        known_s = self.asked_at - status.first_seen_at
-        return member.instance not in self.listed and known_s >= lag_s
+        known_s = self.list_requested_at - status.first_seen_at
+        return member.instance not in self.listed_instances and known_s >= lag_s
 
 
-__all__ = ["Departures"]
+__all__ = ["TerminationDetector"]
--- a/src/auburnswitch/routing/crashes.py
+++ b/src/auburnswitch/routing/crashes.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from auburnswitch.endpoints.client import EndpointClient
     from auburnswitch.endpoints.reservations import HeldReservation
-    from auburnswitch.members.service import Membership
+    from auburnswitch.members.membership import Membership
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.routing.strikes import StrikeBook
     from auburnswitch.schema.objects import Endpoint
@@ -64,7 +64,7 @@
         """Waits until every live peer has been told, or for a call's time."""
         told_at = monotonic_s()
         for link in self.membership.links.values():
-            link.beat_now.set()
+            link.heartbeat_requested.set()
         view = self.membership.view
         timeout_s = self.membership.settings.peers.call_timeout_s
         with contextlib.suppress(TimeoutError):
--- a/src/auburnswitch/routing/endpoint_choice.py
+++ b/src/auburnswitch/routing/endpoint_choice.py
@@ -149,9 +149,9 @@
         In a large fleet those of this daemon's cell go first.
         """
         service = job.service.name
-        if not self.cells.is_split(service):
+        if not self.cells.spans_cells(service):
             return self._choose_of(job, self.installation.endpoints_of(service))
-        placement = self._choose_of(job, self.cells.own_endpoints(service))
+        placement = self._choose_of(job, self.cells.cell_endpoints(service))
         if placement is not None and not (placement.late or placement.harmful):
             return placement
         others = self.installation.endpoints_of(service)
--- a/src/auburnswitch/routing/ends.py
+++ b/src/auburnswitch/routing/ends.py
@@ -73,8 +73,8 @@
         now = monotonic_s()
         late_s = now - max(request.deadline_at, resumed_at)
         paused = (
-            now - view.ticked_at > view.settings.suspect_after_s
-            or view.awake_since > request.deadline_at
+            now - view.last_tick_at > view.settings.suspect_after_s
+            or view.last_resumed_at > request.deadline_at
         )
         self.owner_table.invariants.check(
             late_s <= DEADLINE_SLACK_S or paused,
--- a/src/auburnswitch/routing/team_limits.py
+++ b/src/auburnswitch/routing/team_limits.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from auburnswitch.configuration.state import ConfigState
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.schema.objects import Team
     from auburnswitch.schema.peers import Heartbeat
--- a/tests/endpoints/bench.py
+++ b/tests/endpoints/bench.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from auburnswitch.members.link import PeerLink
+    from auburnswitch.members.peer_link import PeerLink
     from auburnswitch.standins.engine import EngineStandIn
 
 AUTHORIZATION = {"Authorization": f"Bearer {CALLER_KEY}"}
--- a/tests/endpoints/owners.py
+++ b/tests/endpoints/owners.py
@@ -9,7 +9,7 @@
 from auburnswitch.endpoints.load import LoadReport
 from auburnswitch.endpoints.owner import OwnerTable
 from auburnswitch.endpoints.reservations import ReservationClient
-from auburnswitch.members.view import MemberView
+from auburnswitch.members.member_view import MemberView
 from auburnswitch.observe.invariants import Invariants
 from auburnswitch.schema.objects import (
     AvailabilityZone,
@@ -39,7 +39,7 @@
         """Returns the owner by the roster."""
         return self.owner
 
-    def may_use(self, _: str) -> bool:
+    def holds_lease(self, _: str) -> bool:
         """Tells whether strict rights are held."""
         return self.strict
 
@@ -75,7 +75,7 @@
 def open_table(*, settled: bool = True, **values: Any) -> OwnerTable:
     """Returns the owner table of a daemon without peers."""
     settings = Settings()
-    view = MemberView(me=Member(id="me"), settings=settings.members)
+    view = MemberView(local_member=Member(id="me"), settings=settings.members)
     state = ConfigState()
     state.join_ticket(Ticket(number=1, changes=changes(endpoint(**values))))
     table = OwnerTable(
--- a/tests/endpoints/test_orphans.py
+++ b/tests/endpoints/test_orphans.py
@@ -94,7 +94,7 @@
     async with open_engine(name=ENGINE) as engine, open_session() as web:
         table = open_table(port=int(engine.url.rpartition(":")[2]))
         members = [Member(id="me"), Member(id="p")]
-        table.view.note_roster(Roster(epoch=1, members=members))
+        table.view.adopt_roster(Roster(epoch=1, members=members))
         collector = OrphanCollector(
             owner_table=table,
             reservations=client_of(table),
--- a/tests/members/rights_watch.py
+++ b/tests/members/lease_overlap_checker.py
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from auburnswitch.experiments.fleet import Fleet
 
-SAMPLE_S = 0.05
-TTL_S = 1.0
+SAMPLE_INTERVAL_S = 0.05
+RESERVATION_TTL_S = 1.0
 
 
-class RightsWatch:
+class LeaseOverlapChecker:
     """Checks that strict rights of an endpoint never overlap.
 
     A grant may be used for a second after it, so the rights of two daemons
@@ -36,7 +36,7 @@
     async def run(self) -> None:
         while True:
             self.sample()
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def sample(self) -> None:
         """Asks every daemon that could act now.
@@ -48,7 +48,7 @@
             if instance in self.frozen:
                 continue
             for endpoint in daemon.state.endpoints:
-                if daemon.strict_rights.may_use(endpoint):
+                if daemon.ownership_leases.holds_lease(endpoint):
                     self.note(endpoint, daemon.member.id)
 
     def note(self, endpoint: str, member_id: str) -> None:
@@ -56,7 +56,7 @@
         holder, held_at = self.last.get(endpoint, (member_id, now))
         if holder != member_id:
             self.changes += 1
-            if now - held_at < TTL_S - SAMPLE_S:
+            if now - held_at < RESERVATION_TTL_S - SAMPLE_INTERVAL_S:
                 raise AssertionError(
                     f"{endpoint}: {holder} at {held_at}, {member_id} at {now}"
                 )
@@ -68,8 +68,8 @@
             instance
             for instance, daemon in self.fleet.daemons.items()
             if instance not in self.frozen
-            and daemon.strict_rights.may_use(endpoint)
+            and daemon.ownership_leases.holds_lease(endpoint)
         ]
 
 
-__all__ = ["SAMPLE_S", "TTL_S", "RightsWatch"]
+__all__ = ["SAMPLE_INTERVAL_S", "RESERVATION_TTL_S", "LeaseOverlapChecker"]
--- a/tests/members/garbage.py
+++ b/tests/members/malformed_messages.py
@@ -6,7 +6,7 @@
 
 from thriftpy2.thrift import TType
 
-TWO_BILLION = 2_000_000_000
+OVERSIZED_COUNT = 2_000_000_000
 UNKNOWN_FIELD = 999
 UNKNOWN_TYPES = (0, 1, 5, 7, 9, 16, 17, 255)
 END = b"\0"
@@ -27,18 +27,21 @@
     return field * depth + END * (depth + 1)
 
 
-def huge_claims() -> list[bytes]:
+def oversized_size_messages() -> list[bytes]:
     """Returns messages of a few bytes that would take a decoder forever."""
     lists = [
-        list_of(item, TWO_BILLION, kind)
+        list_of(item, OVERSIZED_COUNT, kind)
         for item in UNKNOWN_TYPES
         for kind in (TType.LIST, TType.SET)
     ]
     known = [
-        list_of(item, TWO_BILLION)
+        list_of(item, OVERSIZED_COUNT)
         for item in (TType.BOOL, TType.STRING, TType.STRUCT, TType.LIST)
     ]
-    inner = struct.pack(">Bi", 1, TWO_BILLION)
+    inner = struct.pack(">Bi", 1, OVERSIZED_COUNT)
     within = [list_of(TType.LIST, 1)[:-1] + inner + END]
-    maps = [map_of(1, 1, TWO_BILLION), map_of(TType.I32, 0, TWO_BILLION)]
+    maps = [
+        map_of(1, 1, OVERSIZED_COUNT),
+        map_of(TType.I32, 0, OVERSIZED_COUNT),
+    ]
     return [*lists, *known, *within, *maps, nested(10_000)]
--- a/tests/members/network.py
+++ b/tests/members/network.py
@@ -15,7 +15,7 @@
 READ_BYTES = 65536
 
 
-class Network:
+class PartitionableNetwork:
     """Opens the connections of a fleet's daemons, and cuts them.
 
     A cut holds back the bytes of open connections and refuses new ones, both
@@ -24,14 +24,14 @@
     Attributes:
         fleet: The fleet, once it is there.
         cuts: Pairs of instances that do not reach each other.
-        no_platform: Instances that do not reach the platform.
+        platform_partitioned: Instances that do not reach the platform.
         changed: Replaced, and set, with each change of the cuts.
     """
 
     def __init__(self) -> None:
         self.fleet: Fleet | None = None
         self.cuts: set[frozenset[str]] = set()
-        self.no_platform: set[str] = set()
+        self.platform_partitioned: set[str] = set()
         self.changed = asyncio.Event()
         self.pumps: list[asyncio.Task[None]] = []
 
@@ -43,7 +43,7 @@
 
         return {
             "dial": dial,
-            "connector": lambda: CutConnector(self, instance),
+            "connector": lambda: PartitionedConnector(self, instance),
         }
 
     def cut(self, group: Iterable[str], others: Iterable[str]) -> None:
@@ -54,13 +54,13 @@
 
     def cut_platform(self, instances: Iterable[str]) -> None:
         """Cuts instances off from the platform."""
-        self.no_platform |= set(instances)
+        self.platform_partitioned |= set(instances)
         self.note_change()
 
     def heal(self) -> None:
         """Ends all cuts."""
         self.cuts.clear()
-        self.no_platform.clear()
+        self.platform_partitioned.clear()
         self.note_change()
 
     def note_change(self) -> None:
@@ -82,7 +82,7 @@
             raise ConnectionRefusedError("cut")
         reader, writer = await asyncio.open_connection(host, port)
         near = asyncio.StreamReader()
-        held = HeldWriter(writer, near)
+        held = BufferedWriter(writer, near)
         for pump in (
             self.pump(
                 instance, port, reader.read, near.feed_data, near.feed_eof
@@ -106,7 +106,7 @@
         end()
 
 
-class HeldWriter:
+class BufferedWriter:
     """Stands in for a stream writer, whose bytes a pump passes on."""
 
     def __init__(
@@ -138,10 +138,10 @@
         self.near.feed_eof()
 
 
-class CutConnector(SimulatedConnector):
+class PartitionedConnector(SimulatedConnector):
     """Breaks and refuses the connections of a cut instance."""
 
-    def __init__(self, network: Network, instance: str) -> None:
+    def __init__(self, network: PartitionableNetwork, instance: str) -> None:
         super().__init__(limit=0)
         self.network = network
         self.instance = instance
@@ -161,16 +161,16 @@
         return fleet is not None and fleet.platform.url.endswith(f":{port}")
 
     def check(self, port: int) -> None:
-        cut = self.instance in self.network.no_platform
+        cut = self.instance in self.network.platform_partitioned
         if cut and self.is_platform(port):
             raise ConnectionRefusedError("cut")
 
     async def break_when_cut(self, transport: Any, port: int) -> None:
         while not transport.is_closing():
             await self.network.changed.wait()
-            cut = self.instance in self.network.no_platform
+            cut = self.instance in self.network.platform_partitioned
             if cut and self.is_platform(port):
                 transport.abort()
 
 
-__all__ = ["Network"]
+__all__ = ["PartitionableNetwork"]
--- a/tests/members/ownership_model.py
+++ b/tests/members/ownership_model.py
@@ -12,15 +12,21 @@
 import collections
 from typing import TYPE_CHECKING
 
-from tests.members.ownership_state import DEAD, NONE, Daemon, Handed, State
+from tests.members.ownership_state import (
+    DEAD,
+    NONE,
+    Daemon,
+    ReceivedHandover,
+    State,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from tests.members.ownership_state import Rule
+    from tests.members.ownership_state import ModelRule
 
 
-class TwoOwnersError(AssertionError):
+class OverlappingOwnersError(AssertionError):
     """Two owners may use strict rights at one time."""
 
 
@@ -34,7 +40,7 @@
 
     __slots__ = ("none", "rule", "states")
 
-    def __init__(self, *, rule: Rule) -> None:
+    def __init__(self, *, rule: ModelRule) -> None:
         self.rule = rule
         self.none = (NONE,) * rule.members
         self.states = 0
@@ -43,7 +49,7 @@
         """Visits every state, breadth first; returns their number.
 
         Raises:
-            TwoOwnersError: A state with two strict owners was found.
+            OverlappingOwnersError: A state with two strict owners was found.
         """
         first = self._first()
         seen = {first}
@@ -208,7 +214,9 @@
         yield left
         if roster:
             heir = roster.bit_length() - 1
-            yield self._hand(left, heir, Handed(number, daemon.epoch, 0))
+            yield self._hand(
+                left, heir, ReceivedHandover(number, daemon.epoch, 0)
+            )
 
     def _pass_on(
         self, state: State, learned: State, number: int, epoch: int
@@ -222,9 +230,11 @@
             and epoch == before.epoch + 1
             and self._begun(state, number)
         ):
-            yield self._hand(learned, heir, Handed(number, before.epoch, 0))
+            yield self._hand(
+                learned, heir, ReceivedHandover(number, before.epoch, 0)
+            )
 
-    def _hand(self, state: State, heir: int, handed: Handed) -> State:
+    def _hand(self, state: State, heir: int, handed: ReceivedHandover) -> State:
         daemon = state.daemons[heir]
         if daemon.epoch == DEAD:
             return state
@@ -292,7 +302,7 @@
     def _grant(self, state: State, number: int) -> State:
         for other, left in enumerate(state.grants):
             if other != number and left:
-                raise TwoOwnersError(f"{other} and {number}: {state}")
+                raise OverlappingOwnersError(f"{other} and {number}: {state}")
         return state._replace(grants=_with(state.grants, number, self.rule.ttl))
 
     def _put(self, state: State, number: int, daemon: Daemon) -> State:
@@ -307,4 +317,4 @@
     return (*values[:index], value, *values[index + 1 :])
 
 
-__all__ = ["Model", "TwoOwnersError"]
+__all__ = ["Model", "OverlappingOwnersError"]
--- a/tests/members/ownership_state.py
+++ b/tests/members/ownership_state.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Rule:
+class ModelRule:
     """The rule and the bounds of its search.
 
     Attributes:
@@ -52,7 +52,7 @@
     checks_clock: bool = True
 
 
-class Handed(NamedTuple):
+class ReceivedHandover(NamedTuple):
     """A hand-over received: by whom, in which epoch, how long ago."""
 
     giver: int
@@ -79,7 +79,7 @@
     ages: tuple[int, ...]
     posts: tuple[int, ...]
     waited: int = NONE
-    handed: Handed | None = None
+    handed: ReceivedHandover | None = None
     granting: bool = False
 
 
@@ -92,4 +92,4 @@
     leavers: int = 0
 
 
-__all__ = ["DEAD", "NONE", "Daemon", "Handed", "Rule", "State"]
+__all__ = ["DEAD", "NONE", "Daemon", "ReceivedHandover", "ModelRule", "State"]
--- a/tests/members/cuttable.py
+++ b/tests/members/partitionable_fleet.py
@@ -10,7 +10,7 @@
 
 from auburnswitch.experiments.fleet import FleetOptions, open_fleet
 from auburnswitch.members.roster import ROSTER_KEY
-from tests.members.network import Network
+from tests.members.network import PartitionableNetwork
 from tests.virtual_time import SimulatedConnector
 
 if TYPE_CHECKING:
@@ -22,8 +22,10 @@
 
 
 @contextlib.asynccontextmanager
-async def open_cuttable(daemons: int) -> AsyncIterator[tuple[Fleet, Network]]:
-    network = Network()
+async def open_partitionable_fleet(
+    daemons: int,
+) -> AsyncIterator[tuple[Fleet, PartitionableNetwork]]:
+    network = PartitionableNetwork()
     options = FleetOptions(
         engines=1,
         daemons=daemons,
@@ -91,7 +93,7 @@
 __all__ = [
     "agreed",
     "kill",
-    "open_cuttable",
+    "open_partitionable_fleet",
     "remove_instances",
     "start",
     "stored_ids",
--- a/tests/members/test_cells.py
+++ b/tests/members/test_cells.py
@@ -5,7 +5,7 @@
 import unittest
 
 from auburnswitch.configuration.installation import Installation
-from auburnswitch.members.cells import ENDPOINTS_IN_CELL, Cells
+from auburnswitch.members.cells import ENDPOINTS_PER_CELL, Cells
 from auburnswitch.schema.installation import EndpointEntry, EndpointList
 from tests.virtual_time import in_loop
 
@@ -29,9 +29,9 @@
     def test_small_fleet_is_one_cell(self):
         cells = Cells(installation=installation(70), instance="entry-0")
         self.assertEqual(cells.count, 1)
-        self.assertFalse(cells.is_split("engines"))
-        self.assertTrue(cells.is_own("engine-5"))
-        self.assertTrue(cells.is_near("entry-7"))
+        self.assertFalse(cells.spans_cells("engines"))
+        self.assertTrue(cells.is_cell_endpoint("engine-5"))
+        self.assertTrue(cells.is_cell_peer("entry-7"))
 
     @in_loop
     def test_every_endpoint_is_in_the_cell_of_some_daemon(self):
@@ -41,11 +41,11 @@
         ]
         owned = set()
         for cells in fleet:
-            self.assertTrue(cells.is_split("engines"))
-            self.assertFalse(cells.is_split("desk"))
-            own = {k.entry.id for k in cells.own_endpoints("engines")}
-            self.assertLess(len(own), 3 * ENDPOINTS_IN_CELL)
-            self.assertTrue(all(map(cells.is_own, own)))
+            self.assertTrue(cells.spans_cells("engines"))
+            self.assertFalse(cells.spans_cells("desk"))
+            own = {k.entry.id for k in cells.cell_endpoints("engines")}
+            self.assertLess(len(own), 3 * ENDPOINTS_PER_CELL)
+            self.assertTrue(all(map(cells.is_cell_endpoint, own)))
             owned |= own
         self.assertGreater(len(owned), 900)
 
@@ -58,7 +58,9 @@
         }
         for name, cells in fleet.items():
             for other, others in fleet.items():
-                self.assertEqual(cells.is_near(other), others.is_near(name))
+                self.assertEqual(
+                    cells.is_cell_peer(other), others.is_cell_peer(name)
+                )
 
     @in_loop
     def test_cells_follow_the_endpoints(self):
--- a/tests/members/test_frames.py
+++ b/tests/members/test_frames.py
@@ -10,16 +10,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from auburnswitch.members.connection import connect_peer
 from auburnswitch.members.frames import (
     FrameError,
     FrameReader,
     FrameWriter,
-    body_of,
-    envelope_of,
+    unwrap_message,
+    wrap_message,
 )
-from auburnswitch.members.link import PeerLink
-from auburnswitch.members.server import PeerServer
+from auburnswitch.members.peer_connection import connect_peer
+from auburnswitch.members.peer_link import PeerLink
+from auburnswitch.members.peer_server import PeerServer
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.objects import Member
 from auburnswitch.schema.peers import (
@@ -32,7 +32,7 @@
 )
 from auburnswitch.schema.results import ResultCode
 from auburnswitch.schema.settings import PeersSettings
-from tests.members import garbage
+from tests.members import malformed_messages
 from tests.virtual_time import run_virtual
 
 KEY = b"k" * 32
@@ -61,7 +61,7 @@
 def frames(*names: str) -> list[bytes]:
     writer = FrameWriter(key=KEY)
     return [
-        writer.encode(envelope_of(StateRequest(state_digest=name)))
+        writer.encode(wrap_message(StateRequest(state_digest=name)))
         for name in names
     ]
 
@@ -84,7 +84,9 @@
         data = bytearray(b"".join(frames("a", "b")))
         data[place % len(data)] ^= change
         try:
-            names = [body_of(e).state_digest for e in read_all(bytes(data))]
+            names = [
+                unwrap_message(e).state_digest for e in read_all(bytes(data))
+            ]
         except FrameError as error:
             self.assertIn(error.code, CODES)
         else:
@@ -93,13 +95,13 @@
     @fuzz
     @given(st.integers(0, 10_000))
     def test_signed_part_of_a_message(self, size):
-        envelope = envelope_of(Heartbeat(sender=Member(id="a"), heard=["b"]))
+        envelope = wrap_message(Heartbeat(sender=Member(id="a"), heard=["b"]))
         whole = FrameWriter(key=KEY).encode(envelope)[HEADER_BYTES:]
         part = whole[: size % len(whole)]
         self.refused(FrameWriter(key=KEY).encode_payload(part))
 
     def test_signed_claims_of_two_billion_items(self):
-        for data in garbage.huge_claims():
+        for data in malformed_messages.oversized_size_messages():
             self.refused(FrameWriter(key=KEY).encode_payload(data))
 
     @fuzz
@@ -114,7 +116,7 @@
     def test_message_without_a_body(self):
         for envelope in (Envelope(), Envelope(done=Done(), hello=Hello())):
             with self.assertRaises(FrameError):
-                body_of(envelope)
+                unwrap_message(envelope)
 
     def test_replay_gap_wrong_key_and_length(self):
         first, second, third = frames("a", "b", "c")
@@ -217,7 +219,7 @@
                 await asyncio.sleep(1)
                 [writer] = server.connections
                 writer.transport.pause_reading()
-                message = envelope_of(StateRequest(state_digest="x" * 4096))
+                message = wrap_message(StateRequest(state_digest="x" * 4096))
                 with (
                     self.assertLogs("auburnswitch", logging.WARNING) as logs,
                     self.assertRaises(ConnectionError),
@@ -243,7 +245,7 @@
             await asyncio.sleep(1)
             first = link.connection
             for _ in range(3):
-                self.assertIsNone(await link.call_or_drop(Heartbeat()))
+                self.assertIsNone(await link.try_call(Heartbeat()))
             await asyncio.sleep(3)
             self.assertIsNotNone(link.connection)
             self.assertIsNot(link.connection, first)
@@ -260,6 +262,6 @@
                 shared_key=KEY,
                 seed=seed,
             )
-            return [link.random.uniform(0.5, 1.0) for _ in range(3)]
+            return [link.rng.uniform(0.5, 1.0) for _ in range(3)]
 
         self.assertNotEqual(delays(1), delays(2))
--- a/tests/members/test_gossip.py
+++ b/tests/members/test_gossip.py
@@ -9,8 +9,8 @@
 from auburnswitch.experiments.installation import until
 from auburnswitch.members import gossip
 from auburnswitch.members.gossip import GossipNode
-from auburnswitch.members.relay_table import REFRESH_S
-from auburnswitch.members.sealed_frames import seal
+from auburnswitch.members.relay_selector import RELAY_REFRESH_INTERVAL_S
+from auburnswitch.members.signed_frames import encode_signed
 from auburnswitch.schema.gossip import (
     DaemonRecord,
     Gossip,
@@ -28,11 +28,11 @@
     def __init__(self, name: str, zone: str, port: int):
         self.heard: list[tuple[str, Gossip]] = []
         self.node = GossipNode(
-            me=DaemonRecord(
+            local_record=DaemonRecord(
                 instance=name, zone=zone, host="127.0.0.1", port=port
             ),
             incarnation=1,
-            describe=lambda message: None,
+            fill_state=lambda message: None,
             list_work=list,
             on_gossip=self._note,
             is_reader=lambda: False,
@@ -72,9 +72,9 @@
             await stack.enter_async_context(node.node.open())
             for other in nodes:
                 if other is not node:
-                    node.node.add_peer(other.node.me)
+                    node.node.add_peer(other.node.local_record)
         for node in nodes:
-            node.node.tell_news()  # directly, so that all are known as live
+            node.node.send_state()  # directly, so that all are known as live
         await until(
             lambda: all(
                 len(n.node.live_peers()) == len(nodes) - 1 for n in nodes
@@ -92,13 +92,13 @@
         port=1,
         zone="a",
     )
-    return seal(KEY, GossipFrame(messages=[message]))
+    return encode_signed(KEY, GossipFrame(messages=[message]))
 
 
 class GossipTest(unittest.IsolatedAsyncioTestCase):
     async def test_few_daemons_send_to_each_other(self):
         async with open_nodes({"a": 2, "b": 1}) as nodes:
-            nodes[0].node.tell_started([WorkItem(id=7)])
+            nodes[0].node.send_started_work([WorkItem(id=7)])
             await until(
                 lambda: all(n.heard_items("a-0") == [7] for n in nodes[1:])
             )
@@ -106,18 +106,22 @@
     async def test_many_daemons_hear_by_one_relay_in_each_zone(self):
         zones = {"a": 8, "b": 8, "c": 4}
         async with open_nodes(zones) as nodes:
-            await asyncio.sleep(REFRESH_S)
+            await asyncio.sleep(RELAY_REFRESH_INTERVAL_S)
             sender = nodes[3].node
             counted = _count_datagrams(sender)
-            sender.tell_started([WorkItem(id=7)])
+            sender.send_started_work([WorkItem(id=7)])
             self.assertLessEqual(counted(), len(zones))
             others = [n for n in nodes if n.node is not sender]
             await until(
-                lambda: all(n.heard_items(sender.me.instance) for n in others)
+                lambda: all(
+                    n.heard_items(sender.local_record.instance) for n in others
+                )
             )
             await asyncio.sleep(0.1)
             for other in others:
-                self.assertEqual(other.heard_items(sender.me.instance), [7])
+                self.assertEqual(
+                    other.heard_items(sender.local_record.instance), [7]
+                )
 
     async def test_zone_without_a_live_daemon_is_sent_to_directly(self):
         async with open_nodes({"a": 18, "b": 2}) as nodes:
@@ -125,7 +129,7 @@
             for peer in sender.peers.values():
                 if peer.record.zone == "b":
                     peer.heard_at = None  # its relay cannot be known
-            sender.tell_started([WorkItem(id=7)])
+            sender.send_started_work([WorkItem(id=7)])
             await until(
                 lambda: all(n.heard_items("a-0") == [7] for n in nodes[18:])
             )
@@ -134,10 +138,10 @@
         async with open_nodes({"a": 4}) as nodes:
             _split(nodes)
             sender, far, near, _ = nodes
-            sender.node.tell_started([WorkItem(id=7)], everywhere=False)
-            sender.node.tell_started([WorkItem(id=8)], everywhere=True)
-            sender.node.tell_ended([7], everywhere=False)
-            sender.node.tell_ended([8], everywhere=True)
+            sender.node.send_started_work([WorkItem(id=7)], to_all_cells=False)
+            sender.node.send_started_work([WorkItem(id=8)], to_all_cells=True)
+            sender.node.schedule_ended_work([7], to_all_cells=False)
+            sender.node.schedule_ended_work([8], to_all_cells=True)
             await until(lambda: near.heard_ended("a-0") == [7, 8])
             await until(lambda: far.heard_ended("a-0") == [8])
             self.assertEqual(near.heard_items("a-0"), [7, 8])
@@ -189,9 +193,9 @@
 
 def _split(nodes: list[Node]) -> None:
     """Puts every other node into one of two cells."""
-    names = [node.node.me.instance for node in nodes]
+    names = [node.node.local_record.instance for node in nodes]
     for number, node in enumerate(nodes):
-        node.node.is_near = set(names[number % 2 :: 2]).__contains__
+        node.node.is_cell_peer = set(names[number % 2 :: 2]).__contains__
 
 
 def _count_datagrams(node: GossipNode):
--- a/tests/members/test_isolation.py
+++ b/tests/members/test_isolation.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from auburnswitch.schema.results import ResultCode
-from tests.members.cuttable import open_cuttable
+from tests.members.partitionable_fleet import open_partitionable_fleet
 from tests.virtual_time import run_virtual
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
         """Returns who refuses at the bound, for long after, and then none."""
 
         async def scenario():
-            async with open_cuttable(daemons) as (fleet, network):
+            async with open_partitionable_fleet(daemons) as (fleet, network):
                 await asyncio.sleep(10)
                 names = NAMES[:daemons]
                 network.cut(peers, set(names) - set(peers))
--- a/tests/members/test_message_check.py
+++ b/tests/members/test_message_validation.py
@@ -9,14 +9,17 @@
 from thriftpy2.protocol import TBinaryProtocolFactory
 from thriftpy2.utils import serialize
 
-from auburnswitch.members.message_check import MessageError, check_message
+from auburnswitch.members.message_validation import (
+    MalformedMessageError,
+    validate_message,
+)
 from auburnswitch.schema.gossip import (
     ConfigChanges,
     Gossip,
     GossipFrame,
     WorkItem,
 )
-from tests.members import garbage
+from tests.members import malformed_messages
 
 fuzz = settings(derandomize=True, deadline=None, max_examples=300)
 
@@ -34,34 +37,37 @@
     return encoded(GossipFrame(messages=[message, message], relay=True))
 
 
-class MessageCheckTest(unittest.TestCase):
+class MessageValidationTest(unittest.TestCase):
     def test_whole_messages(self):
         for message in (GossipFrame(), Gossip(sender="a")):
-            check_message(encoded(message))
-        check_message(a_frame())
+            validate_message(encoded(message))
+        validate_message(a_frame())
 
     def test_every_part_of_a_message_is_cut_short(self):
         whole = a_frame()
         for size in range(len(whole)):
-            with self.assertRaises(MessageError):
-                check_message(whole[:size])
+            with self.assertRaises(MalformedMessageError):
+                validate_message(whole[:size])
 
     def test_huge_claims(self):
-        for data in garbage.huge_claims():
-            with self.assertRaises(MessageError, msg=data[:20]):
-                check_message(data)
+        for data in malformed_messages.oversized_size_messages():
+            with self.assertRaises(MalformedMessageError, msg=data[:20]):
+                validate_message(data)
 
     def test_negative_sizes(self):
-        for data in (garbage.list_of(8, -1), garbage.map_of(8, 8, -5)):
-            with self.assertRaises(MessageError):
-                check_message(data)
+        for data in (
+            malformed_messages.list_of(8, -1),
+            malformed_messages.map_of(8, 8, -5),
+        ):
+            with self.assertRaises(MalformedMessageError):
+                validate_message(data)
 
     @fuzz
     @given(st.binary(max_size=300))
     def test_any_bytes(self, data):
         try:
-            check_message(data)
-        except MessageError as error:
+            validate_message(data)
+        except MalformedMessageError as error:
             self.assertTrue(str(error))
 
     @fuzz
@@ -70,8 +76,8 @@
         data = bytearray(a_frame())
         data[place % len(data)] ^= change
         try:
-            check_message(bytes(data))
-        except MessageError as error:
+            validate_message(bytes(data))
+        except MalformedMessageError as error:
             self.assertTrue(str(error))
 
 
--- a/tests/members/test_outage.py
+++ b/tests/members/test_outage.py
@@ -5,7 +5,11 @@
 import asyncio
 import unittest
 
-from tests.members.cuttable import agreed, open_cuttable, until
+from tests.members.partitionable_fleet import (
+    agreed,
+    open_partitionable_fleet,
+    until,
+)
 from tests.virtual_time import run_virtual
 
 DAEMONS = 3
@@ -16,7 +20,7 @@
 class OutageTest(unittest.TestCase):
     def test_daemons_are_replaced_through_an_hour(self):
         async def scenario():
-            async with open_cuttable(DAEMONS) as (fleet, _):
+            async with open_partitionable_fleet(DAEMONS) as (fleet, _):
                 fleet.platform.outage = True
                 await asyncio.sleep(10)
                 for number in range(DAEMONS):
--- a/tests/members/test_strict.py
+++ b/tests/members/test_ownership_leases.py
@@ -9,15 +9,22 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments.freezing import FreezableLoop
-from tests.members.cuttable import agreed, open_cuttable, until
-from tests.members.rights_watch import TTL_S, RightsWatch
+from tests.members.lease_overlap_checker import (
+    RESERVATION_TTL_S,
+    LeaseOverlapChecker,
+)
+from tests.members.partitionable_fleet import (
+    agreed,
+    open_partitionable_fleet,
+    until,
+)
 from tests.virtual_time import run_virtual
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
     from auburnswitch.experiments.fleet import Fleet
-    from tests.members.network import Network
+    from tests.members.network import PartitionableNetwork
 
 LEASE_S = 3.0
 REMOVAL_S = 10.0
@@ -26,32 +33,35 @@
 ENDPOINT = "engine-0"
 
 
-def run(scenario: Callable[[Fleet, Network], Awaitable], daemons: int = 5):
+def run(
+    scenario: Callable[[Fleet, PartitionableNetwork], Awaitable],
+    daemons: int = 5,
+):
     async def opened():
-        async with open_cuttable(daemons) as (fleet, network):
+        async with open_partitionable_fleet(daemons) as (fleet, network):
             return await scenario(fleet, network)
 
     return run_virtual(opened, FreezableLoop)
 
 
-async def settled(watch: RightsWatch) -> int:
+async def settled(watch: LeaseOverlapChecker) -> int:
     """Waits until the endpoint has a strict owner; returns its number."""
     await until(lambda: bool(watch.holders(ENDPOINT)), 60)
     [instance] = watch.holders(ENDPOINT)
     return int(instance.removeprefix("entry-"))
 
 
-class StrictRightsTest(unittest.TestCase):
+class OwnershipLeasesTest(unittest.TestCase):
     def test_rights_come_after_one_wait_at_the_first_start(self):
         async def scenario(fleet, network):
-            await settled(RightsWatch(fleet))
+            await settled(LeaseOverlapChecker(fleet))
             return monotonic_s()
 
-        self.assertLess(run(scenario), LEASE_S + TTL_S + 1)
+        self.assertLess(run(scenario), LEASE_S + RESERVATION_TTL_S + 1)
 
     def test_joining_owner_waits_for_its_predecessors_grants_only(self):
         async def scenario(fleet, network):
-            watch = RightsWatch(fleet)
+            watch = LeaseOverlapChecker(fleet)
             await settled(watch)
             await asyncio.sleep(10)
             before = watch.holders(ENDPOINT)
@@ -65,23 +75,23 @@
             await settled(watch)
             return monotonic_s() - moved_at
 
-        self.assertLess(run(scenario, daemons=1), TTL_S + 0.5)
+        self.assertLess(run(scenario, daemons=1), RESERVATION_TTL_S + 0.5)
 
     def test_successor_of_a_killed_owner_waits(self):
         async def scenario(fleet, network):
-            watch = RightsWatch(fleet)
+            watch = LeaseOverlapChecker(fleet)
             fleet.kill_daemon(await settled(watch))
             killed_at = monotonic_s()
             await settled(watch)
             return monotonic_s() - killed_at
 
         took_s = run(scenario)
-        self.assertGreater(took_s, REMOVAL_S + LEASE_S + TTL_S - 1)
-        self.assertLess(took_s, REMOVAL_S + LEASE_S + TTL_S + 1.5)
+        self.assertGreater(took_s, REMOVAL_S + LEASE_S + RESERVATION_TTL_S - 1)
+        self.assertLess(took_s, REMOVAL_S + LEASE_S + RESERVATION_TTL_S + 1.5)
 
     def test_successor_of_a_leaving_owner_waits_for_its_grants_only(self):
         async def scenario(fleet, network):
-            watch = RightsWatch(fleet)
+            watch = LeaseOverlapChecker(fleet)
             number = await settled(watch)
             await asyncio.sleep(10)
             stop = asyncio.create_task(fleet.stop_daemon(number))
@@ -92,18 +102,18 @@
             return monotonic_s() - given_up_at
 
         took_s = run(scenario)
-        self.assertGreater(took_s, TTL_S - 0.1)
-        self.assertLess(took_s, TTL_S + 1)
+        self.assertGreater(took_s, RESERVATION_TTL_S - 0.1)
+        self.assertLess(took_s, RESERVATION_TTL_S + 1)
 
     def test_thawed_owner_has_no_rights(self):
         async def scenario(fleet, network):
-            watch = RightsWatch(fleet)
+            watch = LeaseOverlapChecker(fleet)
             number = await settled(watch)
             daemon = fleet.daemons[f"entry-{number}"]
             fleet.freeze_daemon(number)
             watch.frozen.add(f"entry-{number}")
             await asyncio.sleep(LEASE_S)
-            self.assertFalse(daemon.strict_rights.may_use(ENDPOINT))
+            self.assertFalse(daemon.ownership_leases.holds_lease(ENDPOINT))
             await settled(watch)
             fleet.thaw_daemon(number)
             watch.frozen.clear()
@@ -116,7 +126,7 @@
 
     def test_minority_owner_loses_its_rights_within_the_lease(self):
         async def scenario(fleet, network):
-            watch = RightsWatch(fleet)
+            watch = LeaseOverlapChecker(fleet)
             name = f"entry-{await settled(watch)}"
             network.cut([name], set(fleet.daemons) - {name})
             await asyncio.sleep(LEASE_S)
@@ -136,9 +146,9 @@
         self.random = random.Random(seed)
         self.next_number = 5
 
-    async def run(self, fleet: Fleet, network: Network) -> int:
+    async def run(self, fleet: Fleet, network: PartitionableNetwork) -> int:
         self.fleet, self.network = fleet, network
-        self.watch = RightsWatch(fleet)
+        self.watch = LeaseOverlapChecker(fleet)
         watching = asyncio.create_task(self.watch.run())
         for _ in range(STEPS):
             await self.step()
--- a/tests/members/test_ownership_model.py
+++ b/tests/members/test_ownership_model.py
@@ -6,24 +6,24 @@
 from dataclasses import replace
 from typing import Any, Final
 
-from tests.members.ownership_model import Model, TwoOwnersError
-from tests.members.ownership_state import Rule
+from tests.members.ownership_model import Model, OverlappingOwnersError
+from tests.members.ownership_state import ModelRule
 
 SHORT: Final[dict[str, Any]] = {"lease": 1, "ttl": 2, "wait": 3}
-THREE: Final = Rule(epochs=3)
-DELAYED: Final = Rule(epochs=2, delay=3)
-JOINING: Final = Rule(members=4, initial=3, epochs=3, **SHORT)
-DYING: Final = Rule(
+THREE: Final = ModelRule(epochs=3)
+DELAYED: Final = ModelRule(epochs=2, delay=3)
+JOINING: Final = ModelRule(members=4, initial=3, epochs=3, **SHORT)
+DYING: Final = ModelRule(
     members=4, initial=4, epochs=3, deaths=2, lease=1, ttl=1, wait=2
 )
-FIVE: Final = Rule(
+FIVE: Final = ModelRule(
     members=5, initial=5, epochs=2, deaths=3, lease=1, ttl=1, wait=2
 )
-HANDING: Final = Rule(initial=2, epochs=3, handovers=True, **SHORT)
+HANDING: Final = ModelRule(initial=2, epochs=3, handovers=True, **SHORT)
 
 
 class WholeRuleTest(unittest.TestCase):
-    def check(self, rule: Rule, least_states: int) -> None:
+    def check(self, rule: ModelRule, least_states: int) -> None:
         states = Model(rule=rule).search()
         self.assertGreater(states, least_states)  # the search was not empty
 
@@ -47,8 +47,8 @@
 
 
 class BrokenRuleTest(unittest.TestCase):
-    def check(self, rule: Rule, **broken: Any) -> None:
-        with self.assertRaises(TwoOwnersError):
+    def check(self, rule: ModelRule, **broken: Any) -> None:
+        with self.assertRaises(OverlappingOwnersError):
             Model(rule=replace(rule, **broken)).search()
 
     def test_no_wait(self):
@@ -65,7 +65,8 @@
 
     def test_change_of_several_members(self):
         self.check(
-            Rule(members=4, initial=2, epochs=2, **SHORT), one_at_a_time=False
+            ModelRule(members=4, initial=2, epochs=2, **SHORT),
+            one_at_a_time=False,
         )
 
     def test_live_member_taken_for_gone(self):
--- a/tests/members/test_roster.py
+++ b/tests/members/test_roster.py
@@ -8,10 +8,10 @@
 
 from auburnswitch.members.roster import ROSTER_KEY
 from auburnswitch.schema.events import EventId
-from tests.members.cuttable import (
+from tests.members.partitionable_fleet import (
     agreed,
     kill,
-    open_cuttable,
+    open_partitionable_fleet,
     remove_instances,
     start,
     stored_ids,
@@ -23,14 +23,14 @@
 class RosterTest(unittest.TestCase):
     def test_nine_join_within_two_seconds(self):
         async def scenario():
-            async with open_cuttable(9):
+            async with open_partitionable_fleet(9):
                 return asyncio.get_running_loop().time()
 
         self.assertLess(run_virtual(scenario), 2)
 
     def test_rest_makes_one_call_in_each_watch(self):
         async def scenario():
-            async with open_cuttable(5) as (fleet, _):
+            async with open_partitionable_fleet(5) as (fleet, _):
                 await asyncio.sleep(60)
                 before = fleet.platform.calls.copy()
                 await asyncio.sleep(120)
@@ -43,7 +43,7 @@
 
     def test_silent_member_is_removed(self):
         async def scenario():
-            async with open_cuttable(5) as (fleet, _):
+            async with open_partitionable_fleet(5) as (fleet, _):
                 await kill(fleet, [0])
                 return await until(lambda: agreed(fleet), 20)
 
@@ -51,7 +51,7 @@
 
     def test_member_heard_by_others_stays(self):
         async def scenario():
-            async with open_cuttable(5) as (fleet, network):
+            async with open_partitionable_fleet(5) as (fleet, network):
                 network.cut(["entry-0"], ["entry-1"])
                 epoch = fleet.daemons["entry-0"].view.roster.epoch
                 await asyncio.sleep(60)
@@ -63,7 +63,7 @@
 
     def test_minority_removes_nobody(self):
         async def scenario():
-            async with open_cuttable(5) as (fleet, network):
+            async with open_partitionable_fleet(5) as (fleet, network):
                 network.cut(["entry-3", "entry-4"], ["entry-0", "entry-1"])
                 network.cut(["entry-3", "entry-4"], ["entry-2"])
                 network.cut_platform(["entry-0", "entry-1", "entry-2"])
@@ -76,7 +76,7 @@
 
     def test_lost_zone_leaves(self):
         async def scenario():
-            async with open_cuttable(9) as (fleet, _):
+            async with open_partitionable_fleet(9) as (fleet, _):
                 await kill(fleet, [0, 3, 6])
                 return await until(lambda: agreed(fleet), 20)
 
@@ -84,7 +84,7 @@
 
     def test_whole_roster_restarts(self):
         async def scenario():
-            async with open_cuttable(9) as (fleet, _):
+            async with open_partitionable_fleet(9) as (fleet, _):
                 await kill(fleet, range(9))
                 await start(fleet, range(9))
                 return await until(lambda: agreed(fleet), 30)
@@ -93,7 +93,7 @@
 
     def test_whole_fleet_is_replaced(self):
         async def scenario():
-            async with open_cuttable(9) as (fleet, _):
+            async with open_partitionable_fleet(9) as (fleet, _):
                 await kill(fleet, range(9))
                 remove_instances(fleet, range(9))
                 await start(fleet, range(9, 18))
@@ -103,7 +103,7 @@
 
     def test_whole_fleet_stops_gracefully(self):
         async def scenario():
-            async with open_cuttable(9) as (fleet, _):
+            async with open_partitionable_fleet(9) as (fleet, _):
                 stops = [fleet.stop_daemon(number) for number in range(9)]
                 await asyncio.gather(*stops)
                 return stored_ids(fleet)
@@ -112,7 +112,7 @@
 
     def test_majority_lost_without_proof_waits_with_an_alarm(self):
         async def scenario():
-            async with open_cuttable(5) as (fleet, _):
+            async with open_partitionable_fleet(5) as (fleet, _):
                 await kill(fleet, [0, 1, 2])
                 with self.assertLogs("auburnswitch", logging.ERROR) as logs:
                     await asyncio.sleep(30)
@@ -128,7 +128,7 @@
 
     def test_lost_answers_are_read_back(self):
         async def scenario():
-            async with open_cuttable(5) as (fleet, _):
+            async with open_partitionable_fleet(5) as (fleet, _):
                 fleet.platform.lose_answers = 3
                 await start(fleet, [5, 6])
                 await until(lambda: agreed(fleet), 10)
@@ -139,7 +139,7 @@
 
     def test_removed_member_that_lives_comes_back(self):
         async def scenario():
-            async with open_cuttable(5) as (fleet, network):
+            async with open_partitionable_fleet(5) as (fleet, network):
                 others = [f"entry-{number}" for number in range(1, 5)]
                 network.cut(["entry-0"], others)
                 await until(lambda: len(stored_ids(fleet)) == 4, 20)
@@ -150,7 +150,7 @@
 
     def test_shared_instance_name_is_told_and_removes_nobody(self):
         async def scenario():
-            async with open_cuttable(3) as (fleet, _):
+            async with open_partitionable_fleet(3) as (fleet, _):
 
                 def rename(settings):
                     settings.daemon.instance = "entry-0"
--- a/tests/members/test_sealed_frames.py
+++ b/tests/members/test_signed_frames.py
@@ -9,14 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from auburnswitch.members.sealed_frames import (
+from auburnswitch.members.signed_frames import (
     MAC_BYTES,
-    SealedFrameError,
-    seal,
-    unseal,
+    SignedFrameError,
+    decode_signed,
+    encode_signed,
 )
 from auburnswitch.schema.gossip import Gossip, WorkItem
-from tests.members import garbage
+from tests.members import malformed_messages
 
 KEY = b"k" * 32
 PLAIN = b"\0"
@@ -28,39 +28,45 @@
     return hmac.digest(KEY, payload, "sha256")[:MAC_BYTES] + payload
 
 
-class SealedFrameTest(unittest.TestCase):
+class SignedFrameTest(unittest.TestCase):
     def test_round_trip(self):
         sent = Gossip(sender="a", items=[WorkItem(id=3, helpers=["x"])])
-        self.assertEqual(unseal(KEY, seal(KEY, sent), Gossip()), sent)
+        self.assertEqual(
+            decode_signed(KEY, encode_signed(KEY, sent), Gossip()), sent
+        )
 
     def test_other_key(self):
-        with self.assertRaises(SealedFrameError):
-            unseal(b"x" * 32, seal(KEY, Gossip(sender="a")), Gossip())
+        with self.assertRaises(SignedFrameError):
+            decode_signed(
+                b"x" * 32, encode_signed(KEY, Gossip(sender="a")), Gossip()
+            )
 
     @fuzz
     @given(st.binary(max_size=200))
     def test_any_bytes(self, data):
-        with self.assertRaises(SealedFrameError):
-            unseal(KEY, data, Gossip())
+        with self.assertRaises(SignedFrameError):
+            decode_signed(KEY, data, Gossip())
 
     @fuzz
     @given(st.binary(max_size=200))
     def test_signed_garbage(self, data):
-        with contextlib.suppress(SealedFrameError):
-            unseal(KEY, sign(data), Gossip())
+        with contextlib.suppress(SignedFrameError):
+            decode_signed(KEY, sign(data), Gossip())
 
     def test_signed_claims_of_two_billion_items(self):
-        for data in garbage.huge_claims():
-            with self.assertRaises(SealedFrameError):
-                unseal(KEY, sign(data), Gossip())
+        for data in malformed_messages.oversized_size_messages():
+            with self.assertRaises(SignedFrameError):
+                decode_signed(KEY, sign(data), Gossip())
 
     @fuzz
     @given(st.integers(min_value=0, max_value=300), st.integers(1, 255))
     def test_one_changed_byte(self, place, change):
-        frame = bytearray(seal(KEY, Gossip(sender="a", host="10.0.0.1")))
+        frame = bytearray(
+            encode_signed(KEY, Gossip(sender="a", host="10.0.0.1"))
+        )
         frame[place % len(frame)] ^= change
-        with self.assertRaises(SealedFrameError):
-            unseal(KEY, bytes(frame), Gossip())
+        with self.assertRaises(SignedFrameError):
+            decode_signed(KEY, bytes(frame), Gossip())
 
 
 if __name__ == "__main__":
--- a/tests/routing/plain_support.py
+++ b/tests/routing/plain_support.py
@@ -14,7 +14,7 @@
 from auburnswitch.clock import WallClock, monotonic_s
 from auburnswitch.endpoints.client import Attempt, EndpointClient
 from auburnswitch.endpoints.reservations import HeldReservation
-from auburnswitch.members.view import MemberView
+from auburnswitch.members.member_view import MemberView
 from auburnswitch.object_store.store import ObjectStore
 from auburnswitch.observe.invariants import Invariants
 from auburnswitch.observe.tasks import open_task_set
@@ -40,7 +40,9 @@
         self.owner_table = SimpleNamespace(
             state=state,
             invariants=Invariants(strict=True),
-            view=MemberView(me=Member(id="me"), settings=MembersSettings()),
+            view=MemberView(
+                local_member=Member(id="me"), settings=MembersSettings()
+            ),
         )
         self.reservations = self
         self.refused = None
--- a/tests/routing/test_ends.py
+++ b/tests/routing/test_ends.py
@@ -89,7 +89,7 @@
                 await asyncio.sleep(19.5)
                 view = ends.owner_table.view
                 if not paused:
-                    view.ticked_at = monotonic_s()
+                    view.last_tick_at = monotonic_s()
                 ends.check_time(routed(), slow)
 
             self.assertEqual(self.violated(check), expected)
--- a/tests/routing/test_team_limits.py
+++ b/tests/routing/test_team_limits.py
@@ -19,7 +19,7 @@
     FleetOptions,
     open_fleet,
 )
-from auburnswitch.members.view import MemberView
+from auburnswitch.members.member_view import MemberView
 from auburnswitch.routing.request import RoutedRequest
 from auburnswitch.routing.team_limits import TeamLimits
 from auburnswitch.schema.objects import Change, Member, ObjectKind, Team, Ticket
@@ -39,12 +39,14 @@
         change = Change(kind=ObjectKind.TEAM, name="t", team=team)
         self.members = [Member(id=f"m{n}") for n in range(DAEMONS)]
         self.limits = []
-        for me in self.members:
+        for local_member in self.members:
             state = ConfigState()
             state.join_ticket(Ticket(number=1, changes=[change]))
-            view = MemberView(me=me, settings=MembersSettings())
+            view = MemberView(
+                local_member=local_member, settings=MembersSettings()
+            )
             for peer in self.members:
-                view.note_member(peer)
+                view.get_or_add_peer(peer)
             self.limits.append(
                 TeamLimits(state=state, view=view, interval_s=INTERVAL_S)
             )
@@ -56,7 +58,7 @@
                     if peer is limits:
                         continue
                     beat = Heartbeat(sender=sender)
-                    limits.fill_heartbeat(beat, peer.view.me.id)
+                    limits.fill_heartbeat(beat, peer.view.local_member.id)
                     peer.note_heartbeat(beat)
                     status = peer.view.peers[sender.id]
                     status.heard_at = asyncio.get_running_loop().time()
