--- a/src/auburnswitch/entry/parts.py
+++ b/src/auburnswitch/entry/parts.py
@@ -108,7 +108,7 @@
             key=lambda: self.gossip.key,
             live_peers=self.gossip.live_peers,
             zone=record.zone,
-            chance=chance,
+            rng=chance,
         )
         self.follower = StoreFollower(
             store=self.store,
--- a/src/auburnswitch/members/gossip.py
+++ b/src/auburnswitch/members/gossip.py
@@ -54,7 +54,8 @@
         list_work: Returns all work of this daemon.
         on_gossip: Called with each accepted datagram.
         is_reader: Whether peers rely on this daemon's news of the store.
-        is_cell_peer: Tells of an instance whether its daemon is of the same cell.
+        is_cell_peer: Tells of an instance whether its daemon is of the same
+            cell.
         stopping: This daemon stops.
     """
 
--- a/src/auburnswitch/members/gossip_peer.py
+++ b/src/auburnswitch/members/gossip_peer.py
@@ -27,8 +27,10 @@
         last_message: Its newest datagram without its work.
         heard_at: Loop time at which that came, None before the first.
         added_at: Loop time at which this daemon learned of it, in seconds.
-        liveness_timeout_s: Silence after which it no longer counts as live, in seconds.
-        last_sequences: Newest datagram of its process, by whether it was relayed.
+        liveness_timeout_s: Silence after which it no longer counts as live,
+            in seconds.
+        last_sequences: Newest datagram of its process, by whether it was
+            relayed.
     """
 
     __slots__ = (
--- a/src/auburnswitch/members/isolation.py
+++ b/src/auburnswitch/members/isolation.py
@@ -34,8 +34,8 @@
 
     Attributes:
         view: What is known of the members.
-        get_store_read_at: Tells when this daemon last read the store's configuration,
-            in seconds of loop time.
+        get_store_read_at: Tells when this daemon last read the store's
+            configuration, in seconds of loop time.
         quorum_ids: The quorum set.
         isolated: New work was refused at the last update.
     """
--- a/src/auburnswitch/members/member_view.py
+++ b/src/auburnswitch/members/member_view.py
@@ -23,8 +23,8 @@
         roster: The agreed membership as last seen.
         peers: Status of every known peer, by member id.
         leaving: This daemon is stopping.
-        last_resumed_at: When this daemon started, or was last found to have been
-            paused, in seconds of loop time.
+        last_resumed_at: When this daemon started, or was last found to have
+            been paused, in seconds of loop time.
         last_tick_at: Loop time of the last tick, in seconds.
         roster_listeners: Called with each newer roster.
         peer_listeners: Called when a peer appears or knows a newer epoch.
--- a/src/auburnswitch/members/membership.py
+++ b/src/auburnswitch/members/membership.py
@@ -130,7 +130,8 @@
     def _note_roster(self, _: Roster) -> None:
         self._update_links()
         for link in self.links.values():
-            link.heartbeat_requested.set()  # peers wait for this daemon to know it
+            # peers wait for this daemon to know it
+            link.heartbeat_requested.set()
         requests = self.ownership_leases.release_lost(self.state.endpoints)
         if requests:
             self.tasks.start(self._send_handovers(requests), "hand over")
--- a/src/auburnswitch/members/ownership_leases.py
+++ b/src/auburnswitch/members/ownership_leases.py
@@ -40,7 +40,8 @@
     Attributes:
         view: What is known of the members.
         history: The rosters learned so far.
-        first_majority_at: Loop time of the first majority at each epoch, in seconds.
+        first_majority_at: Loop time of the first majority at each epoch, in
+            seconds.
         relinquished: Endpoints that this daemon has handed over for good.
     """
 
--- a/src/auburnswitch/members/roster_changes.py
+++ b/src/auburnswitch/members/roster_changes.py
@@ -58,8 +58,8 @@
     Attributes:
         view: What is known of the members.
         termination_detector: Proof that members have ended.
-        change_wanted_since: Loop time since which a change is wanted, in seconds, by
-            the id of the member that it is about.
+        change_wanted_since: Loop time since which a change is wanted, in
+            seconds, by the id of the member that it is about.
     """
 
     __slots__ = ("change_wanted_since", "termination_detector", "view")
--- a/src/auburnswitch/members/termination_detector.py
+++ b/src/auburnswitch/members/termination_detector.py
@@ -35,7 +35,8 @@
         store: Reads the list of instances.
         former_ids: Members whose instances run a newer daemon.
         listed_instances: Names on the newest list of instances.
-        list_requested_at: Loop time at which that list was asked for, in seconds.
+        list_requested_at: Loop time at which that list was asked for, in
+            seconds.
     """
 
     __slots__ = (
