--- a/src/auburnswitch/daemon/status.py
+++ b/src/auburnswitch/daemon/status.py
@@ -10,7 +10,7 @@
     from auburnswitch.callers.in_flight import InFlightCounter
     from auburnswitch.configuration.state import ConfigState
     from auburnswitch.endpoints.endpoint_manager import EndpointManager
-    from auburnswitch.members.view import MemberView
+    from auburnswitch.members.member_view import MemberView
     from auburnswitch.object_store.client import ObjectStoreClient
     from auburnswitch.object_store.watcher import StoreWatcher
     from auburnswitch.observe.invariants import Invariants
--- a/src/auburnswitch/endpoints/engine_reconciler.py
+++ b/src/auburnswitch/endpoints/engine_reconciler.py
@@ -127,7 +127,7 @@
     def _is_due(self, ledger: EndpointLedger) -> bool:
         if not self.desired_orders(ledger):
             return False
-        if not self.endpoint_manager.rights.may_use(ledger.name):
+        if not self.endpoint_manager.rights.holds_lease(ledger.name):
             return False
         state = self.states.get(ledger.name)
         if state is None or state.matched_target != self._match_key(ledger):
@@ -232,7 +232,7 @@
         Raises:
             EndpointFailureError: The rights have run out.
         """
-        if not self.endpoint_manager.rights.may_use(ledger.name):
+        if not self.endpoint_manager.rights.holds_lease(ledger.name):
             raise EndpointFailureError(
                 "the strict rights have run out", sent=False, lost=False
             )
--- a/src/auburnswitch/endpoints/instance_list.py
+++ b/src/auburnswitch/endpoints/instance_list.py
@@ -71,13 +71,15 @@
     def _is_reader(self) -> bool:
         view = self.endpoint_manager.view
         order = rendezvous_order(READER_ELECTION_KEY, view.live_ids())
-        if view.me.id not in order:
+        if view.local_member.id not in order:
             return False  # this daemon is stopping
         interval_s = (
             self.endpoint_manager.settings.endpoints.instances_interval_s
         )
         wait_s = (
-            order.index(view.me.id) * MISSED_READS_BEFORE_FAILOVER * interval_s
+            order.index(view.local_member.id)
+            * MISSED_READS_BEFORE_FAILOVER
+            * interval_s
         )
         return wait_s == 0 or monotonic_s() > self.updated_at + wait_s
 
--- a/src/auburnswitch/endpoints/owner_client.py
+++ b/src/auburnswitch/endpoints/owner_client.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
     from auburnswitch.endpoints.endpoint_manager import EndpointManager
-    from auburnswitch.members.service import Membership
+    from auburnswitch.members.membership import Membership
 
 LATE_REPLY_TIMEOUT_S: Final = 60.0
 
@@ -59,7 +59,7 @@
 
         Room that is granted after the asker has gone is given back.
         """
-        me = self.endpoint_manager.view.me.id
+        me = self.endpoint_manager.view.local_member.id
         if owner_id == me:
             return await self.endpoint_manager.reserve(request, me)
         link = self.membership.links.get(owner_id)
@@ -112,7 +112,7 @@
         self, member_id: str, request: ReleaseRequest | ProgressRequest
     ) -> None:
         """Tells an owner of the progress or the end of a reservation."""
-        if member_id == self.endpoint_manager.view.me.id:
+        if member_id == self.endpoint_manager.view.local_member.id:
             self.apply_locally(request)
             return
         link = self.membership.links.get(member_id)
--- a/src/auburnswitch/endpoints/reservations.py
+++ b/src/auburnswitch/endpoints/reservations.py
@@ -26,8 +26,8 @@
 
     from auburnswitch.endpoints.client import Attempt
     from auburnswitch.endpoints.endpoint_manager import EndpointManager
-    from auburnswitch.members.server import PeerServer
-    from auburnswitch.members.service import Membership
+    from auburnswitch.members.membership import Membership
+    from auburnswitch.members.peer_server import PeerServer
 
 
 class DispatchRefusedError(EndpointFailureError):
@@ -222,7 +222,7 @@
 
     def report_local_reservations(self) -> None:
         """Reports this daemon's reservations to its own owner table."""
-        me = self.endpoint_manager.view.me.id
+        me = self.endpoint_manager.view.local_member.id
         self.endpoint_manager.reservation_reconciler.note_report(
             me, self._works_for(me)
         )
@@ -288,7 +288,7 @@
     ) -> None:
         members = [self.endpoint_manager.owner_of(endpoint), granted_by]
         if endpoint in self.endpoint_manager.ledgers:
-            members.insert(0, self.endpoint_manager.view.me.id)
+            members.insert(0, self.endpoint_manager.view.local_member.id)
         for member_id in dict.fromkeys(members):
             await self.owner_client.send(member_id, request)
 
--- a/tests/endpoints/manager_support.py
+++ b/tests/endpoints/manager_support.py
@@ -9,7 +9,7 @@
 from auburnswitch.endpoints.endpoint_manager import EndpointManager
 from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.endpoints.reservations import ReservationClient
-from auburnswitch.members.view import MemberView
+from auburnswitch.members.member_view import MemberView
 from auburnswitch.observe.invariants import Invariants
 from auburnswitch.schema.objects import (
     AvailabilityZone,
@@ -39,7 +39,7 @@
         """Returns the owner by the roster."""
         return self.owner
 
-    def may_use(self, _: str) -> bool:
+    def holds_lease(self, _: str) -> bool:
         """Tells whether strict rights are held."""
         return self.strict
 
@@ -77,7 +77,7 @@
 ) -> EndpointManager:
     """Returns the owner table of a daemon without peers."""
     settings = Settings()
-    view = MemberView(me=Member(id="me"), settings=settings.members)
+    view = MemberView(local_member=Member(id="me"), settings=settings.members)
     state = ConfigState()
     state.join_ticket(Ticket(number=1, changes=changes(endpoint(**values))))
     table = EndpointManager(
