--- a/src/auburnswitch/experiments/chaos.py
+++ b/src/auburnswitch/experiments/chaos.py
@@ -27,7 +27,7 @@
 )
 from auburnswitch.schema.objects import Change, ObjectKind, Service, ServiceKind
 from auburnswitch.standins.answers import BYTES_PER_TOKEN
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Coroutine
--- a/src/auburnswitch/experiments/demo.py
+++ b/src/auburnswitch/experiments/demo.py
@@ -15,7 +15,7 @@
     FleetOptions,
     open_fleet,
 )
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/src/auburnswitch/experiments/entry_caller.py
+++ b/src/auburnswitch/experiments/entry_caller.py
@@ -12,8 +12,8 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments.caller import CallOutcome
 from auburnswitch.routing.sse_events import SseEventSplitter
-from auburnswitch.standins.callers import is_signed, request_headers
-from auburnswitch.standins.operators import HOST
+from auburnswitch.standins.caller_headers import is_signed, request_headers
+from auburnswitch.standins.installation_objects import HOST
 
 DEADLINE_MS: Final = 15_000
 _HTTP_OK: Final = 200
--- a/src/auburnswitch/experiments/entry_demo.py
+++ b/src/auburnswitch/experiments/entry_demo.py
@@ -14,8 +14,8 @@
     open_installation,
     until,
 )
-from auburnswitch.standins.operators import put_config
-from auburnswitch.standins.runner import Fault
+from auburnswitch.standins.endpoint import Fault
+from auburnswitch.standins.installation_objects import put_config
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -87,7 +87,7 @@
 ) -> None:
     for name, runner in fleet.runners.items():
         if name.startswith("engine"):
-            runner.faults.append(Fault.CUT_MIDWAY)
+            runner.faults.append(Fault.DISCONNECT_MID_EVENT)
     fleet.runners["engine-2"].faults.clear()
     show("two of three engines now break off in the middle of an event")
     for _ in range(3):
@@ -99,9 +99,9 @@
 ) -> None:
     for runner in fleet.runners.values():
         runner.faults.clear()
-        runner.arrivals.clear()
+        runner.received_requests.clear()
     for name in ("desk-0", "desk-1"):
-        fleet.runners[name].faults.append(Fault.CUT)
+        fleet.runners[name].faults.append(Fault.DISCONNECT)
     result = await fleet.call("/book/1")
     show(
         f"a booking whose answer is lost: HTTP {result.status},"
--- a/src/auburnswitch/experiments/fleet.py
+++ b/src/auburnswitch/experiments/fleet.py
@@ -27,7 +27,7 @@
 )
 from auburnswitch.schema.settings import Settings
 from auburnswitch.standins.engine import EngineStandIn, open_engine
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from auburnswitch.standins.history import History
 from auburnswitch.standins.plain_service import (
     PlainServiceStandIn,
--- a/src/auburnswitch/experiments/installation.py
+++ b/src/auburnswitch/experiments/installation.py
@@ -17,17 +17,17 @@
     ListenSettings,
     StoreSettings,
 )
-from auburnswitch.standins import operators
-from auburnswitch.standins.callers import request_headers
+from auburnswitch.standins import installation_objects
+from auburnswitch.standins.caller_headers import request_headers
+from auburnswitch.standins.endpoint import EndpointStandIn
 from auburnswitch.standins.installation_store import InstallationStore
 from auburnswitch.standins.ports import free_port
-from auburnswitch.standins.runner import Runner
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Mapping, Sequence
 
     from auburnswitch.entry.parts import EntryDaemon
-    from auburnswitch.standins.runner import Arrival
+    from auburnswitch.standins.endpoint import ReceivedRequest
 
 CALLER_KEYS: Final = ("key-1", "key-2")
 READY_TIMEOUT_S: Final = 3.0
@@ -61,7 +61,7 @@
         keys: Keys of the only team.
         **more: Fields that go before the usual ones.
     """
-    return operators.make_config(version, list(keys), **more)
+    return installation_objects.make_config(version, list(keys), **more)
 
 
 class SmallInstallation:
@@ -95,20 +95,20 @@
         self.store = store
         self.session = session
         self.store_address = store_address
-        self.runners: dict[str, Runner] = {}
+        self.runners: dict[str, EndpointStandIn] = {}
         self.addresses: dict[str, str] = {}
         self.daemons: list[EntryDaemon] = []
 
     def put_entry(self, endpoint: str, service: str, **more: Any) -> None:
         """Writes an endpoint's entry into the store."""
-        operators.put_endpoint(
+        installation_objects.put_endpoint(
             self.store, endpoint, service, self.addresses[endpoint], **more
         )
 
     @property
-    def arrivals(self) -> list[Arrival]:
+    def arrivals(self) -> list[ReceivedRequest]:
         """Requests that came to any endpoint."""
-        return [a for r in self.runners.values() for a in r.arrivals]
+        return [a for r in self.runners.values() for a in r.received_requests]
 
     def url(self, daemon: int = 0) -> str:
         """Returns the base URL of a daemon's listener for callers."""
@@ -168,7 +168,7 @@
     store = InstallationStore()
     async with contextlib.AsyncExitStack() as stack:
         listener = await stack.enter_async_context(
-            open_http_server(store.build(), host="127.0.0.1", port=0)
+            open_http_server(store.make_app(), host="127.0.0.1", port=0)
         )
         fleet = SmallInstallation(
             store=store,
@@ -178,13 +178,13 @@
         services = {f"engine-{n}": "engines" for n in range(engines)}
         services |= {f"desk-{n}": "desk" for n in range(desks)}
         for name, service in services.items():
-            runner = fleet.runners[name] = Runner(runner_id=name)
+            runner = fleet.runners[name] = EndpointStandIn(endpoint_id=name)
             server = await stack.enter_async_context(
                 open_http_server(runner, host="127.0.0.1", port=0)
             )
             fleet.addresses[name] = f"127.0.0.1:{server.port}"
             fleet.put_entry(name, service)
-        operators.put_config(store, first_config or make_config())
+        installation_objects.put_config(store, first_config or make_config())
         for number in range(daemons):
             settings = entry_settings(f"entry-{number}", fleet.store_address)
             daemon = await stack.enter_async_context(
--- a/src/auburnswitch/experiments/oracle.py
+++ b/src/auburnswitch/experiments/oracle.py
@@ -86,7 +86,7 @@
 
     def _has_room(self, name: str, request: RoutedRequest) -> bool:
         engine = self.engines[name]
-        used = engine.batch.memory_used
+        used = engine.batch.memory_used_tokens
         used += sum(job.memory_tokens for job in engine.batch.waiting)
         used += sum(
             r.prompt_tokens + r.answer_tokens for r in self._in_transit(name)
@@ -103,11 +103,13 @@
         jobs = self.engines[name].batch.jobs()
         transit = self._in_transit(name)
         length = int(request.length_class)
-        first = sum(j.prefill_left for j in jobs if j.priority <= length)
+        first = sum(
+            j.prefill_remaining_tokens for j in jobs if j.priority <= length
+        )
         first += sum(
             r.prompt_tokens for r in transit if int(r.length_class) <= length
         )
-        total = sum(j.prefill_left for j in jobs)
+        total = sum(j.prefill_remaining_tokens for j in jobs)
         total += sum(r.prompt_tokens for r in transit)
         return (first, total)
 
--- a/src/auburnswitch/experiments/placement.py
+++ b/src/auburnswitch/experiments/placement.py
@@ -36,7 +36,7 @@
     table_lines,
 )
 from auburnswitch.schema.peers import EndpointPhase, LengthClass
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 
 if TYPE_CHECKING:
     from auburnswitch.schema.settings import Settings
--- a/src/auburnswitch/soak/callers.py
+++ b/src/auburnswitch/soak/callers.py
@@ -11,7 +11,7 @@
 
 from auburnswitch.http_client import send_once
 from auburnswitch.soak.fleet import STREAM_EVENTS
-from auburnswitch.standins.callers import is_signed, request_headers
+from auburnswitch.standins.caller_headers import is_signed, request_headers
 
 if TYPE_CHECKING:
     import random
--- a/src/auburnswitch/soak/faults.py
+++ b/src/auburnswitch/soak/faults.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.soak.proxy import Link, Proxy
-from auburnswitch.standins import operators
-from auburnswitch.standins.runner import Fault
+from auburnswitch.standins import installation_objects
+from auburnswitch.standins.endpoint import Fault
 
 if TYPE_CHECKING:
     import random
@@ -116,7 +116,7 @@
 
     async def _fail_requests(self) -> None:
         runner = self.chance.choice([*self.fleet.runners.values()])
-        kinds = [fault for fault in Fault if fault is not Fault.SILENT]
+        kinds = [fault for fault in Fault if fault is not Fault.NO_RESPONSE]
         runner.faults.extend(self.chance.choices(kinds, k=4))
 
     async def _drain_endpoint(self) -> None:
@@ -124,17 +124,17 @@
         self.fleet.list_endpoint(name, "draining")
         await self._last()
         if self.chance.random() < 0.5:
-            operators.remove_endpoint(self.fleet.store, name)
+            installation_objects.remove_endpoint(self.fleet.store, name)
             await self._last()
         self.fleet.list_endpoint(name)
 
     async def _stop_store(self) -> None:
-        self.fleet.store.down = True
+        self.fleet.store.unavailable = True
         await self._last()
-        self.fleet.store.down = False
+        self.fleet.store.unavailable = False
 
     async def _forget_history(self) -> None:
-        self.fleet.store.forget_history()
+        self.fleet.store.compact_history()
 
     async def _change_keys(self) -> None:
         self.fleet.keys = ["key-1"]
@@ -144,9 +144,9 @@
         self.fleet.configure()
 
     async def _close_zone(self) -> None:
-        operators.close_zone(self.fleet.store, "zone-1")
+        installation_objects.close_zone(self.fleet.store, "zone-1")
         await asyncio.sleep(LASTS_S[0])
-        operators.open_zone(self.fleet.store, "zone-1")
+        installation_objects.open_zone(self.fleet.store, "zone-1")
 
 
 __all__ = ["Faults"]
--- a/src/auburnswitch/soak/fleet.py
+++ b/src/auburnswitch/soak/fleet.py
@@ -12,10 +12,10 @@
 
 from auburnswitch.http_server import open_http_server
 from auburnswitch.soak.proxy import Proxy
-from auburnswitch.standins import operators
+from auburnswitch.standins import installation_objects
+from auburnswitch.standins.endpoint import EndpointStandIn
 from auburnswitch.standins.installation_store import InstallationStore
 from auburnswitch.standins.ports import free_port
-from auburnswitch.standins.runner import Runner
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -111,7 +111,7 @@
 
     def __init__(self) -> None:
         self.store = InstallationStore()
-        self.runners: dict[str, Runner] = {}
+        self.runners: dict[str, EndpointStandIn] = {}
         self.links: dict[str, Proxy] = {}
         self.daemons: list[DaemonProcess] = []
         self.version = 0
@@ -120,14 +120,16 @@
     def configure(self) -> None:
         """Writes a new version of the configuration."""
         self.version += 1
-        config = operators.make_config(self.version, list(self.keys))
-        operators.put_config(self.store, config)
+        config = installation_objects.make_config(self.version, list(self.keys))
+        installation_objects.put_config(self.store, config)
 
     def list_endpoint(self, name: str, state: str = "ready") -> None:
         """Writes an endpoint's entry."""
         address = f"127.0.0.1:{self.links[name].port}"
         service = name.split("-")[0]
-        operators.put_endpoint(self.store, name, service, address, State=state)
+        installation_objects.put_endpoint(
+            self.store, name, service, address, State=state
+        )
 
 
 @contextlib.asynccontextmanager
@@ -138,10 +140,12 @@
     fleet = SoakFleet()
     async with contextlib.AsyncExitStack() as stack:
         store = await stack.enter_async_context(
-            open_http_server(fleet.store.build(), host="127.0.0.1", port=0)
+            open_http_server(fleet.store.make_app(), host="127.0.0.1", port=0)
         )
         for name in ("engines-1", "engines-2", "engines-3", "desk-1", "desk-2"):
-            runner = Runner(runner_id=name, events=STREAM_EVENTS)
+            runner = EndpointStandIn(
+                endpoint_id=name, event_count=STREAM_EVENTS
+            )
             fleet.runners[name] = runner
             server = await stack.enter_async_context(
                 open_http_server(runner, host="127.0.0.1", port=0)
--- a/src/auburnswitch/soak/run.py
+++ b/src/auburnswitch/soak/run.py
@@ -92,7 +92,7 @@
         last = [await callers.call(session) for _ in range(LAST_REQUESTS)]
     await asyncio.sleep(0.5)  # reservations are ended after the answers
     for runner in fleet.runners.values():
-        runner.expire()
+        runner.expire_reservations()
     return [
         f"after recovery: {outcome.path} got {outcome.status}"
         for outcome in last
@@ -105,7 +105,7 @@
     runs: Counter[str] = Counter()
     problems = []
     for runner in fleet.runners.values():
-        for arrival in runner.arrivals:
+        for arrival in runner.received_requests:
             runs[arrival.request_id] += arrival.ran
         for key in runner.reservations:  # those that were not ended in time
             problems.append(f"{runner.id}: memory left reserved by {key}")
--- a/src/auburnswitch/standins/__main__.py
+++ b/src/auburnswitch/standins/__main__.py
@@ -15,10 +15,10 @@
 
 from auburnswitch.http_server import ListenError
 from auburnswitch.standins.engine import open_engine
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from auburnswitch.standins.plain_service import open_plain_service
 from auburnswitch.standins.platform import open_platform
-from auburnswitch.standins.weights import open_weight_store
+from auburnswitch.standins.weight_store import open_weight_store
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
--- a/src/auburnswitch/standins/callers.py
+++ b/src/auburnswitch/standins/caller_headers.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from auburnswitch.standins.operators import HOST
+from auburnswitch.standins.installation_objects import HOST
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/src/auburnswitch/standins/runner.py
+++ b/src/auburnswitch/standins/endpoint.py
@@ -20,21 +20,21 @@
     """What an endpoint does wrong with one request."""
 
     NONE = "none"
-    NOT_RUN = "refuses it as not run"
-    ERROR = "answers 500"
-    CUT = "closes the connection before it answers"
-    CUT_MIDWAY = "closes the connection in the middle of an event"
-    OTHER_ID = "answers with the id of another request"
+    NOT_EXECUTED = "refuses it as not run"
+    SERVER_ERROR = "answers 500"
+    DISCONNECT = "closes the connection before it answers"
+    DISCONNECT_MID_EVENT = "closes the connection in the middle of an event"
+    WRONG_REQUEST_ID = "answers with the id of another request"
     UNSIGNED = "answers without a signature"
-    SILENT = "never answers"
+    NO_RESPONSE = "never answers"
 
 
-class ConnectionCutError(Exception):
+class AbortConnectionError(Exception):
     """Makes the server close the connection."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Arrival:
+class ReceivedRequest:
     """A request that came to the endpoint.
 
     Attributes:
@@ -55,32 +55,32 @@
         return self.headers.get("x-attempt-id", "")
 
 
-class Runner:
+class EndpointStandIn:
     """Answers requests as an endpoint does.
 
     Attributes:
         id: The endpoint's id.
-        events: Events of a streamed answer.
+        event_count: Events of a streamed answer.
         event_interval_s: Time between two of them.
         faults: What goes wrong with the next requests, in their order.
-        arrivals: Requests so far.
+        received_requests: Requests so far.
         reservations: Reserved tokens by key.
-        free_tokens: Memory that can be reserved.
-        stopped_early: Streams whose caller left before their end.
+        capacity_tokens: Memory that can be reserved.
+        client_disconnects: Streams whose caller left before their end.
         running: Requests that it works on.
         slowdown: Time that its work takes, relative to the usual.
     """
 
-    def __init__(self, *, runner_id: str, events: int = 5) -> None:
-        self.id = runner_id
-        self.events = events
+    def __init__(self, *, endpoint_id: str, event_count: int = 5) -> None:
+        self.id = endpoint_id
+        self.event_count = event_count
         self.event_interval_s = 0.01
         self.faults: deque[Fault] = deque()
-        self.arrivals: list[Arrival] = []
+        self.received_requests: list[ReceivedRequest] = []
         self.reservations: dict[str, int] = {}
         self._expires_at: dict[str, float] = {}
-        self.free_tokens = 100_000
-        self.stopped_early = 0
+        self.capacity_tokens = 100_000
+        self.client_disconnects = 0
         self.running = 0
         self.slowdown = 1.0
 
@@ -101,13 +101,13 @@
         fault = self.faults.popleft() if self.faults else Fault.NONE
         expected = headers.get("x-expect-instance", self.id)
         wrong = expected != self.id
-        arrival = Arrival(
+        arrival = ReceivedRequest(
             headers=headers,
             target=scope["raw_path"].decode(),
             body=body,
-            ran=not wrong and fault is not Fault.NOT_RUN,
+            ran=not wrong and fault is not Fault.NOT_EXECUTED,
         )
-        self.arrivals.append(arrival)
+        self.received_requests.append(arrival)
         if wrong:
             await _answer(send, 421, [(b"x-instance-id", self.id.encode())])
             return
@@ -130,16 +130,16 @@
             (b"x-response-seal", SIGNATURE),
         ]
         match fault:
-            case Fault.NOT_RUN:
+            case Fault.NOT_EXECUTED:
                 await _answer(send, 503, [(b"x-not-executed", b"1")])
-            case Fault.ERROR:
+            case Fault.SERVER_ERROR:
                 await _answer(send, 500, signed, b"failed")
-            case Fault.CUT:
-                raise ConnectionCutError
-            case Fault.SILENT:
+            case Fault.DISCONNECT:
+                raise AbortConnectionError
+            case Fault.NO_RESPONSE:
                 while (await receive())["type"] != "http.disconnect":
                     pass
-            case Fault.OTHER_ID:
+            case Fault.WRONG_REQUEST_ID:
                 other = [(b"x-attempt-id", b"0000"), signed[1]]
                 await _answer(send, 200, other, b"for another request")
             case Fault.UNSIGNED:
@@ -162,22 +162,22 @@
         start = {"type": "http.response.start", "status": 200}
         await send({**start, "headers": [*headers, kind]})
         gone = asyncio.ensure_future(receive())
-        for number in range(first, self.events + 1):
+        for number in range(first, self.event_count + 1):
             if gone.done():
-                self.stopped_early += 1
+                self.client_disconnects += 1
                 return
             event = f"id: {number}\ndata: {self.id} {number}\n\n".encode()
-            if fault is Fault.CUT_MIDWAY and number == first + 1:
+            if fault is Fault.DISCONNECT_MID_EVENT and number == first + 1:
                 event = event[: len(event) // 2]
             await _send_part(send, event)
-            if fault is Fault.CUT_MIDWAY and number == first + 1:
+            if fault is Fault.DISCONNECT_MID_EVENT and number == first + 1:
                 gone.cancel()
-                raise ConnectionCutError
+                raise AbortConnectionError
             await asyncio.sleep(self.event_interval_s)
         gone.cancel()
         await send({"type": "http.response.body", "body": b""})
 
-    def expire(self) -> None:
+    def expire_reservations(self) -> None:
         """Ends the reservations that were not renewed in time."""
         now = asyncio.get_running_loop().time()
         for key in [*self.reservations]:
@@ -185,7 +185,7 @@
                 del self.reservations[key]
 
     async def _report(self, send: Send) -> None:
-        self.expire()
+        self.expire_reservations()
         report = {
             "Running": self.running,
             "Waiting": 0,
@@ -196,14 +196,14 @@
 
     async def _order(self, order: dict[str, object], send: Send) -> None:
         key = str(order["Id"])
-        self.expire()
+        self.expire_reservations()
         if order["Op"] == "release":
             self.reservations.pop(key, None)
             await _answer(send, 200, [])
             return
         tokens = int(str(order["Tokens"]))
         others = sum(v for k, v in self.reservations.items() if k != key)
-        granted = others + tokens <= self.free_tokens
+        granted = others + tokens <= self.capacity_tokens
         if granted:
             self.reservations[key] = tokens
             hold_s = int(str(order["HoldMs"])) / _MS_PER_S
@@ -237,4 +237,4 @@
     await send({"type": "http.response.body", "body": body})
 
 
-__all__ = ["Arrival", "Fault", "Runner"]
+__all__ = ["ReceivedRequest", "Fault", "EndpointStandIn"]
--- a/src/auburnswitch/standins/engine.py
+++ b/src/auburnswitch/standins/engine.py
@@ -6,17 +6,17 @@
 from typing import TYPE_CHECKING, Any
 
 from auburnswitch.standins.engine_api import engine_app
-from auburnswitch.standins.engine_batch import Batch
+from auburnswitch.standins.engine_batch import BatchScheduler
 from auburnswitch.standins.engine_cache import CacheEventFeed, PrefixCache
 from auburnswitch.standins.engine_cold import ColdState
 from auburnswitch.standins.engine_control import apply_engine_control
+from auburnswitch.standins.engine_job_table import JobTable
 from auburnswitch.standins.engine_load import LoadReport, make_load_report
-from auburnswitch.standins.engine_model import EngineOptions
-from auburnswitch.standins.engine_orders import OrderBook
+from auburnswitch.standins.engine_options import EngineOptions
+from auburnswitch.standins.engine_orders import OrderState
 from auburnswitch.standins.engine_recorder import EngineRecorder
-from auburnswitch.standins.engine_table import JobTable
 from auburnswitch.standins.history import History, HistoryKind
-from auburnswitch.standins.lagged import Lagged
+from auburnswitch.standins.lagged_value import LaggedValue
 from auburnswitch.standins.listener import Listener, Pause, open_listener
 
 if TYPE_CHECKING:
@@ -41,10 +41,10 @@
         pause: While it lasts, the engine does nothing.
         batch: Jobs that wait or run.
         recorder: Writes to the history.
-        jobs: Streams and KV caches that callers can name.
-        warmth: The cold state.
+        job_table: Streams and KV caches that callers can name.
+        cold_state: The cold state.
         cache: Prefix blocks.
-        orders: What orders have set.
+        order_state: What orders have set.
         incarnation: Part of boot ids that tells processes apart.
         boot_id: Changes with every start.
         load: Load reports, read with their lag.
@@ -57,17 +57,17 @@
         "batch",
         "boot_id",
         "cache",
+        "cold_state",
         "history",
         "incarnation",
-        "jobs",
+        "job_table",
         "load",
         "name",
         "options",
-        "orders",
+        "order_state",
         "pause",
         "recorder",
         "session",
-        "warmth",
     )
 
     def __init__(
@@ -85,22 +85,22 @@
         self.session = session
         self.incarnation = incarnation
         self.pause = Pause()
-        self.batch = Batch(
+        self.batch = BatchScheduler(
             options=self.options,
             observer=self,
             pause=self.pause,
-            first_delay_s=lambda: self.warmth.delay_s,
+            prefill_delay_s=lambda: self.cold_state.delay_s,
         )
         self.recorder = EngineRecorder(
             actor=self.name, history=self.history, batch=self.batch
         )
-        self.jobs = JobTable(resumable_s=self.options.resumable_s)
-        self.warmth = ColdState(options=self.options)
+        self.job_table = JobTable(resumable_s=self.options.resumable_s)
+        self.cold_state = ColdState(options=self.options)
         self.cache = PrefixCache(
             max_tokens=self.options.cache_tokens,
             feed=CacheEventFeed(options=self.options),
         )
-        self.orders = OrderBook(
+        self.order_state = OrderState(
             model=self.options.model,
             checks_fencing=self.options.checks_fencing,
             load_s=self.options.model_load_s,
@@ -108,7 +108,9 @@
         self._leaving = False
         self._boots = 0
         self._listener: Listener | None = None
-        self.load: Lagged[LoadReport] = Lagged(lag_s=self.options.load_lag_s)
+        self.load: LaggedValue[LoadReport] = LaggedValue(
+            lag_s=self.options.load_lag_s
+        )
         self._boot()
 
     @property
@@ -125,16 +127,16 @@
     @leaving.setter
     def leaving(self, value: bool) -> None:
         self._leaving = value
-        self.on_changed()
+        self.on_load_changed()
 
     @property
     def cold(self) -> bool:
         """Whether the engine bears only a small load."""
-        return self.warmth.cold
+        return self.cold_state.cold
 
     def turn_cold(self) -> None:
         """Turns cold without any announcement."""
-        self.warmth.turn_cold()
+        self.cold_state.turn_cold()
         self.recorder.record(HistoryKind.TURNED_COLD)
 
     def freeze(self, seconds: float) -> None:
@@ -150,16 +152,16 @@
         """Drops connections, memory and streams, and restarts later."""
         self.recorder.record_crash(cause, self.boot_id)
         if self._listener is not None:
-            self._listener.take_down(
+            self._listener.stop_for(
                 self.options.restart_s, silent=self.options.restart_silent
             )
         self.pause.end()
-        self.batch.lose_all()
-        self.jobs.clear()
+        self.batch.discard_all()
+        self.job_table.clear()
         self.cache.clear(publish=False)
         self.cache.feed.clear()
-        self.orders.stop_loading()
-        self.warmth.turn_cold()
+        self.order_state.cancel_load()
+        self.cold_state.turn_cold()
         self._boot()
 
     def apply_control(self, switches: dict[str, Any]) -> None:
@@ -169,20 +171,20 @@
     def submit(self, job: Job) -> None:
         """Takes a job, or crashes if it is too much for a cold engine."""
         self.recorder.record_start(job, cold=self.cold, leaving=self.leaving)
-        self.jobs.add(job)
+        self.job_table.add(job)
         self.batch.submit(job)
-        if self.warmth.is_overloaded(self.batch.jobs()):
+        if self.cold_state.is_overloaded(self.batch.jobs()):
             self.crash("cold overload")
 
     def cancel(self, job: Job) -> None:
         """Cancels a job, or frees its KV cache."""
-        self.jobs.remove(job)
-        if job.live or job.held:
+        self.job_table.remove(job)
+        if job.active or job.kv_retained:
             self.batch.cancel(job)
 
-    def take_order(self, order: Order) -> bool:
+    def apply_order(self, order: Order) -> bool:
         """Carries out an order; returns whether it was taken."""
-        taken = self.orders.take(order, self._on_model_loaded)
+        taken = self.order_state.apply(order, self._on_model_loaded)
         self.recorder.record_order(order, taken=taken)
         return taken
 
@@ -194,38 +196,38 @@
         """Skips the prefill of cached blocks."""
         cached = self.cache.match(job.blocks)
         job.cached_tokens = min(cached, job.prompt_tokens - 1)
-        job.prefill_left -= job.cached_tokens
+        job.prefill_remaining_tokens -= job.cached_tokens
 
     def on_prefilled(self, job: Job) -> None:
         """Caches the prompt's blocks, or crashes on a crashing prompt."""
-        if job.crashes:
+        if job.crashes_engine:
             self.crash("prompt")
             return
         self.cache.store(job.blocks)
 
-    def on_held(self, job: Job) -> None:
+    def on_kv_retained(self, job: Job) -> None:
         """Records that a segment has been prefilled."""
         self.recorder.record_job(HistoryKind.REQUEST_FINISHED, job)
         self._count_success()
 
-    def on_released(self, job: Job) -> None:
+    def on_memory_freed(self, job: Job) -> None:
         """Records that a job has freed its memory."""
         self.recorder.record_job(HistoryKind.MEMORY_FREED, job)
 
-    def on_ended(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """Records how a job ended."""
         if job.finished:
             self.recorder.record_job(HistoryKind.REQUEST_FINISHED, job)
             self._count_success()
-        elif not job.prefilled_segment:
+        elif not job.kv_completed:
             self.recorder.record_job(HistoryKind.REQUEST_CANCELLED, job)
 
-    def on_changed(self) -> None:
+    def on_load_changed(self) -> None:
         """Records the load for later reports."""
         report = make_load_report(
             self.batch,
             boot_id=self.boot_id,
-            model=self.orders.model,
+            model=self.order_state.model,
             leaving=self.leaving,
         )
         self.load.record(report)
@@ -234,16 +236,16 @@
         self._boots += 1
         self.boot_id = f"{self.name}-{self.incarnation}{self._boots}"
         self.load.clear()
-        self.on_changed()
+        self.on_load_changed()
         self.recorder.record_boot(self.boot_id)
 
     def _count_success(self) -> None:
-        if self.warmth.count_success():
+        if self.cold_state.count_success():
             self.recorder.record(HistoryKind.TURNED_WARM)
 
     def _on_model_loaded(self) -> None:
         self.cache.clear(publish=True)
-        self.on_changed()
+        self.on_load_changed()
 
     @contextlib.asynccontextmanager
     async def serve(self, *, host: str, port: int) -> AsyncIterator[None]:
@@ -258,7 +260,7 @@
             try:
                 yield
             finally:
-                self.orders.stop_loading()
+                self.order_state.cancel_load()
 
 
 @contextlib.asynccontextmanager
--- a/src/auburnswitch/standins/engine_api.py
+++ b/src/auburnswitch/standins/engine_api.py
@@ -15,23 +15,26 @@
     prompt_digest,
 )
 from auburnswitch.standins.control import control_routes
-from auburnswitch.standins.engine_cache import block_names
-from auburnswitch.standins.engine_frames import FrameResponse, whole_answer
+from auburnswitch.standins.engine_cache import block_hashes
 from auburnswitch.standins.engine_job import (
     CRASH_MARKER,
     Completion,
     Job,
-    Segment,
+    PrefillSegment,
 )
 from auburnswitch.standins.engine_orders import parse_order
 from auburnswitch.standins.engine_requests import (
-    Caller,
     EngineRequest,
-    KvLink,
+    KvCacheRef,
+    RequestIds,
     parse_request,
-    read_caller,
-    read_object,
-    read_prefill_caller,
+    read_json_object,
+    read_prefill_request_ids,
+    read_request_ids,
+)
+from auburnswitch.standins.engine_responses import (
+    SseResponse,
+    completion_response,
 )
 
 if TYPE_CHECKING:
@@ -67,8 +70,8 @@
             Route(kv, self.free_kv, methods=["DELETE"]),
             Route("/load", self.load, methods=["GET"]),
             Route("/v1/cache/events", self.cache_events, methods=["GET"]),
-            Route("/v1/orders", self.take_order, methods=["POST"]),
-            Route("/v1/orders", self.show_orders, methods=["GET"]),
+            Route("/v1/orders", self.apply_order, methods=["POST"]),
+            Route("/v1/orders", self.get_orders, methods=["GET"]),
         ]
 
     async def complete(self, request: Request) -> Response:
@@ -81,9 +84,9 @@
 
     async def _complete(self, request: Request, *, chat: bool) -> Response:
         try:
-            body = await read_object(request)
+            body = await read_json_object(request)
             parsed = parse_request(body, chat=chat)
-            caller = read_caller(request, self._default_id())
+            caller = read_request_ids(request, self._default_id())
         except ValueError as error:
             return _error(400, str(error))
         continued = count_tokens(parsed.continue_text)
@@ -91,7 +94,7 @@
             max_tokens=parsed.max_tokens, first_token=continued, chat=chat
         )
         refusal = await self._refusal(parsed, work.max_tokens + continued)
-        if refusal is None and self.engine.jobs.has_attempt(caller):
+        if refusal is None and self.engine.job_table.has_attempt(caller):
             refusal = _error(409, "this attempt has been sent already")
         if refusal is not None:
             return refusal
@@ -99,16 +102,16 @@
         self.engine.submit(job)
         if parsed.stream:
             return self._stream(job, work, first=0)
-        await job.wait_until_ended()
-        return JSONResponse(whole_answer(job, work))
+        await job.wait_until_inactive()
+        return JSONResponse(completion_response(job, work))
 
     def _default_id(self) -> str:
-        return f"{self.engine.boot_id}-{self.engine.jobs.next_order()}"
+        return f"{self.engine.boot_id}-{self.engine.job_table.next_arrival_index()}"
 
     async def _refusal(
         self, parsed: EngineRequest, further_tokens: int
     ) -> Response | None:
-        loaded = self.engine.orders.model
+        loaded = self.engine.order_state.model
         if loaded and parsed.model and parsed.model != loaded:
             return _error(404, f"model {parsed.model} is not loaded")
         needed = count_tokens(parsed.prompt) + further_tokens
@@ -119,7 +122,7 @@
                 return _error(409, f"KV cache {link.kv_id} does not exist")
         return None
 
-    async def _has_kv(self, link: KvLink) -> bool:
+    async def _has_kv(self, link: KvCacheRef) -> bool:
         if self.engine.session is None:
             return True
         url = f"{link.url}/v1/kv"
@@ -133,8 +136,8 @@
     def _make_job(
         self,
         parsed: EngineRequest,
-        caller: Caller,
-        work: Completion | Segment,
+        caller: RequestIds,
+        work: Completion | PrefillSegment,
     ) -> Job:
         text = parsed.prompt + parsed.continue_text
         continued = count_tokens(parsed.continue_text)
@@ -143,16 +146,16 @@
             attempt=caller.attempt,
             member_id=caller.member_id,
             priority=parsed.priority,
-            order=self.engine.jobs.next_order(),
+            arrival_index=self.engine.job_table.next_arrival_index(),
             work=work,
             prompt_tokens=count_tokens(parsed.prompt) + continued,
             digest=prompt_digest(parsed.prompt, _chain_digest(parsed)),
-            blocks=[] if parsed.kv_chain else block_names(text),
-            crashes=CRASH_MARKER in parsed.prompt,
+            blocks=[] if parsed.kv_chain else block_hashes(text),
+            crashes_engine=CRASH_MARKER in parsed.prompt,
         )
 
     def _stream(self, job: Job, work: Completion, first: int) -> Response:
-        return FrameResponse(
+        return SseResponse(
             job=job,
             work=work,
             first=first,
@@ -167,16 +170,16 @@
                 "request_id": job.request_id,
                 "attempt": job.attempt,
                 "member_id": job.member_id,
-                "tokens": job.memory_tokens if job.live else 0,
-                "finished": not job.live,
+                "tokens": job.memory_tokens if job.active else 0,
+                "finished": not job.active,
             }
-            for job in self.engine.jobs.list_streams()
+            for job in self.engine.job_table.list_streams()
         ]
         return JSONResponse({"streams": streams})
 
     def _find_stream(self, request: Request) -> Job | None:
         params = request.path_params
-        return self.engine.jobs.find_stream(
+        return self.engine.job_table.find_stream(
             params["request_id"], params["attempt"]
         )
 
@@ -205,9 +208,9 @@
     async def prefill(self, request: Request) -> Response:
         """Prefills one segment and keeps its KV cache."""
         try:
-            body = await read_object(request)
+            body = await read_json_object(request)
             parsed = parse_request(body, chat=False)
-            caller = read_prefill_caller(request, body, self._default_id())
+            caller = read_prefill_request_ids(request, body, self._default_id())
         except ValueError as error:
             return _error(400, str(error))
         refusal = await self._refusal(parsed, 0)
@@ -215,11 +218,13 @@
             return refusal
         tokens = count_tokens(parsed.prompt)
         digest = prompt_digest(parsed.prompt, _chain_digest(parsed))
-        kv_id = self.engine.jobs.next_kv_id(self.engine.boot_id, tokens, digest)
-        job = self._make_job(parsed, caller, Segment(kv_id=kv_id))
+        kv_id = self.engine.job_table.next_kv_id(
+            self.engine.boot_id, tokens, digest
+        )
+        job = self._make_job(parsed, caller, PrefillSegment(kv_id=kv_id))
         self.engine.submit(job)
-        await job.wait_until_ended()
-        if not job.held:
+        await job.wait_until_inactive()
+        if not job.kv_retained:
             return _error(409, "the KV cache was freed")
         return JSONResponse({"kv_id": kv_id, "tokens": tokens})
 
@@ -233,13 +238,13 @@
                 "member_id": job.member_id,
                 "tokens": job.memory_tokens,
             }
-            for kv_id, job in self.engine.jobs.kv_caches.items()
+            for kv_id, job in self.engine.job_table.kv_caches.items()
         ]
         return JSONResponse({"caches": caches})
 
     async def free_kv(self, request: Request) -> Response:
         """Frees a KV cache."""
-        job = self.engine.jobs.kv_caches.get(request.path_params["kv_id"])
+        job = self.engine.job_table.kv_caches.get(request.path_params["kv_id"])
         if job is None:
             return _error(404, "no such KV cache")
         self.engine.cancel(job)
@@ -259,20 +264,20 @@
         content = [event.to_json() for event in events]
         return JSONResponse({"events": content, "next": following})
 
-    async def take_order(self, request: Request) -> Response:
+    async def apply_order(self, request: Request) -> Response:
         """Carries out an order."""
         try:
-            order = parse_order(await read_object(request))
+            order = parse_order(await read_json_object(request))
         except ValueError as error:
             return _error(400, str(error))
-        if not self.engine.take_order(order):
-            number = self.engine.orders.fencing_number
+        if not self.engine.apply_order(order):
+            number = self.engine.order_state.fencing_number
             return JSONResponse({"fencing_number": number}, 409)
         return JSONResponse({})
 
-    async def show_orders(self, request: Request) -> Response:
+    async def get_orders(self, request: Request) -> Response:
         """Shows what orders have set."""
-        return JSONResponse(self.engine.orders.to_json())
+        return JSONResponse(self.engine.order_state.to_json())
 
 
 def _chain_digest(parsed: EngineRequest) -> str:
--- a/src/auburnswitch/standins/engine_batch.py
+++ b/src/auburnswitch/standins/engine_batch.py
@@ -11,9 +11,9 @@
     Completion,
     Job,
     JobState,
-    Segment,
+    PrefillSegment,
 )
-from auburnswitch.standins.engine_model import (
+from auburnswitch.standins.engine_options import (
     EngineOptions,
     decode_time_s,
     prefill_time_s,
@@ -37,20 +37,20 @@
     def on_prefilled(self, job: Job) -> None:
         """The last chunk of the job has run."""
 
-    def on_held(self, job: Job) -> None:
+    def on_kv_retained(self, job: Job) -> None:
         """The job's KV cache is complete and is kept."""
 
-    def on_released(self, job: Job) -> None:
+    def on_memory_freed(self, job: Job) -> None:
         """The job has freed its memory."""
 
-    def on_ended(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """The job has finished or was cancelled."""
 
-    def on_changed(self) -> None:
+    def on_load_changed(self) -> None:
         """The load has changed."""
 
 
-class Batch:
+class BatchScheduler:
     """The jobs of an engine and the tasks that advance them.
 
     Attributes:
@@ -58,21 +58,21 @@
         observer: Is told what happens.
         pause: Nothing advances while it lasts.
         waiting: Jobs that do not fit yet, in order of service.
-        first_delay_s: Tells how much longer a prompt takes now, in seconds.
+        prefill_delay_s: Tells how much longer a prompt takes now, in seconds.
         prefilling: Jobs in prefill.
         decoding: Jobs that decode.
-        memory_used: Tokens of memory in use, KV caches included.
+        memory_used_tokens: Tokens of memory in use, KV caches included.
     """
 
     __slots__ = (
         "_decode_wanted",
         "_prefill_wanted",
         "decoding",
-        "first_delay_s",
-        "memory_used",
+        "memory_used_tokens",
         "observer",
         "options",
         "pause",
+        "prefill_delay_s",
         "prefilling",
         "waiting",
     )
@@ -83,16 +83,16 @@
         options: EngineOptions,
         observer: BatchObserver,
         pause: Pause,
-        first_delay_s: Callable[[], float] = lambda: 0.0,
+        prefill_delay_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self.options = options
-        self.first_delay_s = first_delay_s
+        self.prefill_delay_s = prefill_delay_s
         self.observer = observer
         self.pause = pause
         self.waiting: list[Job] = []
         self.prefilling: list[Job] = []
         self.decoding: list[Job] = []
-        self.memory_used = 0
+        self.memory_used_tokens = 0
         self._prefill_wanted = asyncio.Event()
         self._decode_wanted = asyncio.Event()
 
@@ -109,35 +109,38 @@
         """Queues a job; it runs once it fits in memory."""
         bisect.insort(self.waiting, job, key=Job.sort_key)
         self._admit()
-        self.observer.on_changed()
+        self.observer.on_load_changed()
 
     def cancel(self, job: Job) -> None:
         """Ends a job that waits, runs or is held, and frees its memory."""
         if job.state is JobState.WAITING:
             self.waiting.remove(job)
-        elif job.live or job.state is JobState.HELD:
+        elif job.active or job.state is JobState.KV_RETAINED:
             self._release(job)
         self._end(job, JobState.CANCELLED)
 
-    def lose_all(self) -> None:
+    def discard_all(self) -> None:
         """Forgets every job, as a crash does."""
         lost = self.jobs()
         self.waiting.clear()
         self.prefilling.clear()
         self.decoding.clear()
-        self.memory_used = 0
+        self.memory_used_tokens = 0
         for job in lost:
             job.state = JobState.LOST
-            job.wake()
+            job.notify_waiters()
 
     def _admit(self) -> None:
         options = self.options
         while self.waiting and self.running_count < options.max_running:
             job = self.waiting[0]
-            if self.memory_used + job.memory_tokens > options.memory_tokens:
+            if (
+                self.memory_used_tokens + job.memory_tokens
+                > options.memory_tokens
+            ):
                 return  # later jobs must not starve the first one
             self.waiting.pop(0)
-            self.memory_used += job.memory_tokens
+            self.memory_used_tokens += job.memory_tokens
             job.state = JobState.PREFILL
             self.prefilling.append(job)
             self._prefill_wanted.set()
@@ -148,16 +151,16 @@
             self.prefilling.remove(job)
         elif job.state is JobState.DECODE:
             self.decoding.remove(job)
-        self.memory_used -= job.memory_tokens
-        self.observer.on_released(job)
+        self.memory_used_tokens -= job.memory_tokens
+        self.observer.on_memory_freed(job)
 
     def _end(self, job: Job, state: JobState) -> None:
         job.state = state
         job.ended_at_s = asyncio.get_running_loop().time()
-        job.wake()
-        self.observer.on_ended(job)
+        job.notify_waiters()
+        self.observer.on_job_ended(job)
         self._admit()
-        self.observer.on_changed()
+        self.observer.on_load_changed()
 
     async def run_prefill(self) -> None:
         """Prefills chunk by chunk, the first job in order of service first."""
@@ -171,18 +174,20 @@
 
     async def _run_chunk(self, job: Job) -> None:
         delay_s = 0.0
-        if job.prefill_left == job.prompt_tokens:
-            delay_s = self.first_delay_s()
+        if job.prefill_remaining_tokens == job.prompt_tokens:
+            delay_s = self.prefill_delay_s()
             self.observer.on_prefill_started(job)
-        chunk = min(job.prefill_left, self.options.prefill_chunk_tokens)
+        chunk = min(
+            job.prefill_remaining_tokens, self.options.prefill_chunk_tokens
+        )
         await asyncio.sleep(delay_s + prefill_time_s(self.options, chunk))
         await self.pause.wait()
         if job.state is not JobState.PREFILL:
             return  # cancelled or lost meanwhile
-        job.prefill_left -= chunk
-        if job.prefill_left == 0:
+        job.prefill_remaining_tokens -= chunk
+        if job.prefill_remaining_tokens == 0:
             self._finish_prefill(job)
-        self.observer.on_changed()
+        self.observer.on_load_changed()
 
     def _finish_prefill(self, job: Job) -> None:
         self.observer.on_prefilled(job)
@@ -194,10 +199,10 @@
                 job.state = JobState.DECODE
                 self.decoding.append(job)
                 self._decode_wanted.set()
-            case Segment():
-                job.state = JobState.HELD
-                job.wake()
-                self.observer.on_held(job)
+            case PrefillSegment():
+                job.state = JobState.KV_RETAINED
+                job.notify_waiters()
+                self.observer.on_kv_retained(job)
                 self._admit()
 
     async def run_decode(self) -> None:
@@ -218,11 +223,11 @@
     def _decode_step(self) -> None:
         ended = []
         for job in self.decoding:
-            job.produced += 1
-            if job.produced == job.answer_tokens:
+            job.produced_tokens += 1
+            if job.produced_tokens == job.answer_tokens:
                 ended.append(job)
             else:
-                job.wake()
+                job.notify_waiters()
         for job in ended:
             self._release(job)
             self._end(job, JobState.FINISHED)
@@ -242,4 +247,4 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
 
-__all__ = ["Batch", "BatchObserver"]
+__all__ = ["BatchScheduler", "BatchObserver"]
--- a/src/auburnswitch/standins/engine_cache.py
+++ b/src/auburnswitch/standins/engine_cache.py
@@ -13,22 +13,22 @@
 from auburnswitch.standins.answers import BYTES_PER_TOKEN
 
 if TYPE_CHECKING:
-    from auburnswitch.standins.engine_model import EngineOptions
+    from auburnswitch.standins.engine_options import EngineOptions
 
 BLOCK_TOKENS: Final = 256
 BLOCK_BYTES: Final = BLOCK_TOKENS * BYTES_PER_TOKEN
-BLOCK_NAME_DIGITS: Final = 16
+BLOCK_HASH_DIGITS: Final = 16
 MAX_KEPT_EVENTS: Final = 20_000
 
 
-def block_names(prompt: str) -> list[str]:
+def block_hashes(prompt: str) -> list[str]:
     """Returns the names of a prompt's whole blocks, first to last."""
     data = memoryview(prompt.encode())
     digest = hashlib.sha256()
     names = []
     for end in range(BLOCK_BYTES, len(data) + 1, BLOCK_BYTES):
         digest.update(data[end - BLOCK_BYTES : end])
-        names.append(digest.copy().hexdigest()[:BLOCK_NAME_DIGITS])
+        names.append(digest.copy().hexdigest()[:BLOCK_HASH_DIGITS])
     return names
 
 
@@ -192,5 +192,5 @@
     "CacheEventFeed",
     "CacheEventKind",
     "PrefixCache",
-    "block_names",
+    "block_hashes",
 ]
--- a/src/auburnswitch/standins/engine_cold.py
+++ b/src/auburnswitch/standins/engine_cold.py
@@ -8,7 +8,7 @@
     from collections.abc import Sequence
 
     from auburnswitch.standins.engine_job import Job
-    from auburnswitch.standins.engine_model import EngineOptions
+    from auburnswitch.standins.engine_options import EngineOptions
 
 
 class ColdState:
--- a/src/auburnswitch/standins/engine_job.py
+++ b/src/auburnswitch/standins/engine_job.py
@@ -16,13 +16,13 @@
     WAITING = enum.auto()
     PREFILL = enum.auto()
     DECODE = enum.auto()
-    HELD = enum.auto()  # a KV cache that is kept for other engines
+    KV_RETAINED = enum.auto()  # a KV cache that is kept for other engines
     FINISHED = enum.auto()
     CANCELLED = enum.auto()
     LOST = enum.auto()  # the engine crashed
 
 
-LIVE_STATES: Final = frozenset(
+ACTIVE_STATES: Final = frozenset(
     {JobState.WAITING, JobState.PREFILL, JobState.DECODE}
 )
 
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Segment:
+class PrefillSegment:
     """Work that prefills one segment of a prompt and keeps its KV cache.
 
     Attributes:
@@ -61,32 +61,32 @@
         attempt: Attempt that the caller gave.
         member_id: Daemon that sent it.
         priority: A lower number runs first.
-        order: Position among all arrivals.
+        arrival_index: Position among all arrivals.
         work: What is wanted.
         prompt_tokens: Tokens of prompt, with text to continue.
         digest: Digest of the whole prompt.
         blocks: Names of the prompt's whole blocks.
-        crashes: Whether it crashes the engine when its prefill ends.
+        crashes_engine: Whether it crashes the engine when its prefill ends.
         cached_tokens: Tokens whose prefill was skipped.
-        prefill_left: Tokens still to prefill.
-        produced: Answer tokens so far.
+        prefill_remaining_tokens: Tokens still to prefill.
+        produced_tokens: Answer tokens so far.
         state: Where it is.
         ended_at_s: Time at which it finished or was cancelled.
     """
 
     __slots__ = (
         "_waiters",
+        "arrival_index",
         "attempt",
         "blocks",
         "cached_tokens",
-        "crashes",
+        "crashes_engine",
         "digest",
         "ended_at_s",
         "member_id",
-        "order",
-        "prefill_left",
+        "prefill_remaining_tokens",
         "priority",
-        "produced",
+        "produced_tokens",
         "prompt_tokens",
         "request_id",
         "state",
@@ -100,26 +100,26 @@
         attempt: int,
         member_id: str,
         priority: int,
-        order: int,
-        work: Completion | Segment,
+        arrival_index: int,
+        work: Completion | PrefillSegment,
         prompt_tokens: int,
         digest: str,
         blocks: list[str],
-        crashes: bool,
+        crashes_engine: bool,
     ) -> None:
         self.request_id = request_id
         self.attempt = attempt
         self.member_id = member_id
         self.priority = priority
-        self.order = order
+        self.arrival_index = arrival_index
         self.work = work
         self.prompt_tokens = prompt_tokens
         self.digest = digest
         self.blocks = blocks
-        self.crashes = crashes
+        self.crashes_engine = crashes_engine
         self.cached_tokens = 0
-        self.prefill_left = prompt_tokens
-        self.produced = 0
+        self.prefill_remaining_tokens = prompt_tokens
+        self.produced_tokens = 0
         self.state = JobState.WAITING
         self.ended_at_s = 0.0
         self._waiters: list[asyncio.Future[None]] = []
@@ -130,7 +130,7 @@
         match self.work:
             case Completion(max_tokens=max_tokens):
                 return max_tokens
-            case Segment():
+            case PrefillSegment():
                 return 0
 
     @property
@@ -139,9 +139,9 @@
         return self.prompt_tokens + self.answer_tokens
 
     @property
-    def live(self) -> bool:
+    def active(self) -> bool:
         """Whether it still waits or runs."""
-        return self.state in LIVE_STATES
+        return self.state in ACTIVE_STATES
 
     @property
     def finished(self) -> bool:
@@ -149,20 +149,23 @@
         return self.state is JobState.FINISHED
 
     @property
-    def held(self) -> bool:
+    def kv_retained(self) -> bool:
         """Whether its KV cache is complete and kept."""
-        return self.state is JobState.HELD
+        return self.state is JobState.KV_RETAINED
 
     @property
-    def prefilled_segment(self) -> bool:
+    def kv_completed(self) -> bool:
         """Whether its KV cache has been completed, even if freed since."""
-        return isinstance(self.work, Segment) and self.prefill_left == 0
+        return (
+            isinstance(self.work, PrefillSegment)
+            and self.prefill_remaining_tokens == 0
+        )
 
     def sort_key(self) -> tuple[int, int]:
         """Returns its place in the order of service."""
-        return (self.priority, self.order)
+        return (self.priority, self.arrival_index)
 
-    def wake(self) -> None:
+    def notify_waiters(self) -> None:
         """Wakes all that wait for a change of the job."""
         for waiter in self._waiters:
             if not waiter.done():
@@ -175,9 +178,9 @@
         self._waiters.append(waiter)
         await waiter
 
-    async def wait_until_ended(self) -> None:
+    async def wait_until_inactive(self) -> None:
         """Returns once the job no longer waits or runs."""
-        while self.live:
+        while self.active:
             await self.wait_for_change()
 
 
@@ -186,5 +189,5 @@
     "Completion",
     "Job",
     "JobState",
-    "Segment",
+    "PrefillSegment",
 ]
--- a/src/auburnswitch/standins/engine_table.py
+++ b/src/auburnswitch/standins/engine_job_table.py
@@ -5,10 +5,10 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from auburnswitch.standins.engine_job import Completion, Job, Segment
+from auburnswitch.standins.engine_job import Completion, Job, PrefillSegment
 
 if TYPE_CHECKING:
-    from auburnswitch.standins.engine_requests import Caller
+    from auburnswitch.standins.engine_requests import RequestIds
 
 
 class JobTable:
@@ -39,7 +39,7 @@
         self._kv_count += 1
         return f"{boot_id}.{self._kv_count}.{tokens}.{digest}"
 
-    def next_order(self) -> int:
+    def next_arrival_index(self) -> int:
         """Returns the next place in the order of arrival."""
         self._order += 1
         return self._order
@@ -49,7 +49,7 @@
         match job.work:
             case Completion():
                 self._streams[job.request_id, job.attempt] = job
-            case Segment(kv_id=kv_id):
+            case PrefillSegment(kv_id=kv_id):
                 self.kv_caches[kv_id] = job
 
     def remove(self, job: Job) -> None:
@@ -57,7 +57,7 @@
         match job.work:
             case Completion():
                 del self._streams[job.request_id, job.attempt]
-            case Segment(kv_id=kv_id):
+            case PrefillSegment(kv_id=kv_id):
                 del self.kv_caches[kv_id]
 
     def find_stream(self, request_id: str, attempt: int) -> Job | None:
@@ -68,7 +68,7 @@
             return None
         return job
 
-    def has_attempt(self, caller: Caller) -> bool:
+    def has_attempt(self, caller: RequestIds) -> bool:
         """Returns whether a caller's attempt runs or can be resumed."""
         found = self.find_stream(caller.request_id, caller.attempt)
         return found is not None
@@ -87,7 +87,7 @@
 
     def _is_expired(self, job: Job) -> bool:
         now_s = asyncio.get_running_loop().time()
-        return not job.live and now_s >= job.ended_at_s + self.resumable_s
+        return not job.active and now_s >= job.ended_at_s + self.resumable_s
 
 
 __all__ = ["JobTable"]
--- a/src/auburnswitch/standins/engine_load.py
+++ b/src/auburnswitch/standins/engine_load.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from auburnswitch.standins.engine_batch import Batch
+    from auburnswitch.standins.engine_batch import BatchScheduler
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -39,17 +39,17 @@
 
 
 def make_load_report(
-    batch: Batch, *, boot_id: str, model: str, leaving: bool
+    batch: BatchScheduler, *, boot_id: str, model: str, leaving: bool
 ) -> LoadReport:
     """Returns the present load of a batch."""
-    queued = sum(job.prefill_left for job in batch.waiting)
-    queued += sum(job.prefill_left for job in batch.prefilling)
+    queued = sum(job.prefill_remaining_tokens for job in batch.waiting)
+    queued += sum(job.prefill_remaining_tokens for job in batch.prefilling)
     return LoadReport(
         boot_id=boot_id,
         running=batch.running_count,
         waiting=len(batch.waiting),
         memory_tokens=batch.options.memory_tokens,
-        memory_used_tokens=batch.memory_used,
+        memory_used_tokens=batch.memory_used_tokens,
         prefill_queued_tokens=queued,
         model=model,
         leaving=leaving,
--- a/src/auburnswitch/standins/engine_orders.py
+++ b/src/auburnswitch/standins/engine_orders.py
@@ -58,7 +58,7 @@
     )
 
 
-class OrderBook:
+class OrderState:
     """What the orders so far have set.
 
     Attributes:
@@ -91,7 +91,7 @@
         self.load_s = load_s
         self._loading: asyncio.TimerHandle | None = None
 
-    def take(self, order: Order, loaded: Callable[[], None]) -> bool:
+    def apply(self, order: Order, loaded: Callable[[], None]) -> bool:
         """Carries out an order unless its number is old.
 
         Args:
@@ -111,7 +111,7 @@
                 self._start_load(order, loaded)
         return True
 
-    def stop_loading(self) -> None:
+    def cancel_load(self) -> None:
         """Drops a load that is under way, as a crash does."""
         if self._loading is not None:
             self._loading.cancel()
@@ -127,7 +127,7 @@
         }
 
     def _start_load(self, order: Order, loaded: Callable[[], None]) -> None:
-        self.stop_loading()  # the newer order replaces the older one
+        self.cancel_load()  # the newer order replaces the older one
         if (order.name, order.version) == (self.model, self.version):
             return
         loop = asyncio.get_running_loop()
@@ -142,4 +142,4 @@
         loaded()
 
 
-__all__ = ["Order", "OrderBook", "OrderKind", "parse_order"]
+__all__ = ["Order", "OrderState", "OrderKind", "parse_order"]
--- a/src/auburnswitch/standins/engine_recorder.py
+++ b/src/auburnswitch/standins/engine_recorder.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from auburnswitch.standins.history import HistoryKind
-from auburnswitch.standins.listener import ARRIVED_S
+from auburnswitch.standins.listener import ARRIVAL_TIME_S
 
 if TYPE_CHECKING:
-    from auburnswitch.standins.engine_batch import Batch
+    from auburnswitch.standins.engine_batch import BatchScheduler
     from auburnswitch.standins.engine_job import Job
     from auburnswitch.standins.engine_orders import Order
     from auburnswitch.standins.history import History
@@ -25,7 +25,9 @@
 
     __slots__ = ("actor", "batch", "history")
 
-    def __init__(self, *, actor: str, history: History, batch: Batch) -> None:
+    def __init__(
+        self, *, actor: str, history: History, batch: BatchScheduler
+    ) -> None:
         self.actor = actor
         self.history = history
         self.batch = batch
@@ -62,7 +64,7 @@
             priority=job.priority,
             cold=cold,
             leaving=leaving,
-            arrived_s=ARRIVED_S.get(None),
+            arrived_s=ARRIVAL_TIME_S.get(None),
         )
 
     def record_job(self, kind: HistoryKind, job: Job) -> None:
@@ -74,7 +76,7 @@
             attempt=job.attempt,
             member_id=job.member_id,
             tokens=job.memory_tokens,
-            memory_used=self.batch.memory_used,
+            memory_used=self.batch.memory_used_tokens,
         )
 
     def record_order(self, order: Order, *, taken: bool) -> None:
--- a/src/auburnswitch/standins/engine_requests.py
+++ b/src/auburnswitch/standins/engine_requests.py
@@ -15,7 +15,7 @@
 DIGEST_PATTERN: Final = re.compile("[0-9a-f]{16}")
 
 
-class KvLink:
+class KvCacheRef:
     """A KV cache of an earlier segment, at the engine that holds it.
 
     Attributes:
@@ -34,7 +34,7 @@
             raise ValueError(f"not the id of a KV cache: {kv_id}")
 
 
-class Caller:
+class RequestIds:
     """Who sent a request: the ids in its headers."""
 
     __slots__ = ("attempt", "member_id", "request_id")
@@ -80,7 +80,7 @@
         max_tokens: int,
         stream: bool,
         priority: int,
-        kv_chain: list[KvLink],
+        kv_chain: list[KvCacheRef],
         continue_text: str,
         chat: bool,
     ) -> None:
@@ -94,7 +94,7 @@
         self.chat = chat
 
 
-async def read_object(request: Request) -> dict[str, Any]:
+async def read_json_object(request: Request) -> dict[str, Any]:
     """Reads a body that must be a JSON object.
 
     Raises:
@@ -106,29 +106,29 @@
     return body
 
 
-def read_caller(request: Request, default_id: str) -> Caller:
+def read_request_ids(request: Request, default_id: str) -> RequestIds:
     """Reads the ids from a request's headers.
 
     Raises:
         ValueError: The attempt is not a number.
     """
     headers = request.headers
-    return Caller(
+    return RequestIds(
         request_id=headers.get("x-request-id") or default_id,
         attempt=int(headers.get("x-attempt", "0")),
         member_id=headers.get("x-member-id", ""),
     )
 
 
-def read_prefill_caller(
+def read_prefill_request_ids(
     request: Request, body: dict[str, Any], default_id: str
-) -> Caller:
+) -> RequestIds:
     """Reads the ids of a prefill, which may stand in its body.
 
     Raises:
         ValueError: An id has a wrong type.
     """
-    caller = read_caller(request, default_id)
+    caller = read_request_ids(request, default_id)
     caller.request_id = _field(body, "request_id", str, caller.request_id)
     caller.attempt = _field(body, "attempt", int, caller.attempt)
     return caller
@@ -179,22 +179,22 @@
     return messages
 
 
-def _kv_chain(body: dict[str, Any]) -> list[KvLink]:
+def _kv_chain(body: dict[str, Any]) -> list[KvCacheRef]:
     links = []
     for item in _field(body, "kv_chain", list, []):
         if not isinstance(item, dict):
             raise ValueError("kv_chain must hold objects")
         url = _field(item, "url", str, "")
-        links.append(KvLink(url=url, kv_id=_field(item, "kv_id", str, "")))
+        links.append(KvCacheRef(url=url, kv_id=_field(item, "kv_id", str, "")))
     return links
 
 
 __all__ = [
-    "Caller",
+    "RequestIds",
     "EngineRequest",
-    "KvLink",
+    "KvCacheRef",
     "parse_request",
-    "read_caller",
-    "read_object",
-    "read_prefill_caller",
+    "read_request_ids",
+    "read_json_object",
+    "read_prefill_request_ids",
 ]
--- a/src/auburnswitch/standins/engine_frames.py
+++ b/src/auburnswitch/standins/engine_responses.py
@@ -11,14 +11,14 @@
 from auburnswitch.standins.answers import answer_text, answer_token
 from auburnswitch.standins.engine_job import Completion, Job, JobState
 from auburnswitch.standins.history import HistoryKind
-from auburnswitch.standins.listener import wait_disconnected
+from auburnswitch.standins.listener import wait_for_disconnect
 
 if TYPE_CHECKING:
     from starlette.types import Receive, Scope, Send
 
     from auburnswitch.standins.history import History
 
-DONE_FRAME: Final = "data: [DONE]\n\n"
+DONE_EVENT: Final = "data: [DONE]\n\n"
 FINISHED_REASON: Final = "length"
 CANCELLED_REASON: Final = "cancelled"
 
@@ -37,14 +37,14 @@
     """Returns the token counts of a job."""
     return {
         "prompt_tokens": job.prompt_tokens,
-        "completion_tokens": job.produced,
+        "completion_tokens": job.produced_tokens,
         "cached_tokens": job.cached_tokens,
     }
 
 
-def whole_answer(job: Job, work: Completion) -> dict[str, Any]:
+def completion_response(job: Job, work: Completion) -> dict[str, Any]:
     """Returns the answer to a request that is not streamed."""
-    text = answer_text(job.digest, job.produced, work.first_token)
+    text = answer_text(job.digest, job.produced_tokens, work.first_token)
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason(job)}
     if work.chat:
         choice["message"] = {"role": "assistant", "content": text}
@@ -58,7 +58,7 @@
     }
 
 
-class FrameWriter:
+class SseEventWriter:
     """Builds the frames of one stream.
 
     Attributes:
@@ -80,18 +80,18 @@
             self._text = ',"choices":[{"index":0,"delta":{"content":"'
             self._tail = '"}'
 
-    def frames(self, first: int, end: int) -> str:
+    def token_events(self, first: int, end: int) -> str:
         """Returns the frames of the tokens from `first` up to `end`."""
         job = self.job
         last = -1
         if job.state is JobState.FINISHED:
-            last = job.produced - 1
+            last = job.produced_tokens - 1
         return "".join(
             self._token_frame(number, finished=number == last)
             for number in range(first, end)
         )
 
-    def cancelled_frame(self, number: int) -> str:
+    def cancelled_event(self, number: int) -> str:
         """Returns the last frame of a cancelled stream, without a token."""
         return self._frame(number, "", finished=True)
 
@@ -108,7 +108,7 @@
         return f'{start},"finish_reason":"{reason}"}}],"usage":{counts}}}\n\n'
 
 
-class FrameResponse(Response):
+class SseResponse(Response):
     """Streams a job's frames until it ends or the caller goes.
 
     The job goes on when the caller has gone.
@@ -130,7 +130,7 @@
         self.init_headers({"cache-control": "no-store"})
         del self.headers["content-length"]
         self.job = job
-        self.writer = FrameWriter(job=job, work=work)
+        self.writer = SseEventWriter(job=job, work=work)
         self.next = first
         self.history = history
         self.actor = actor
@@ -154,23 +154,23 @@
             watcher.cancel()
 
     async def _watch_caller(self, receive: Receive) -> None:
-        await wait_disconnected(receive)
+        await wait_for_disconnect(receive)
         self.caller_gone = True
-        self.job.wake()
+        self.job.notify_waiters()
 
     async def _send_frames(self, send: Send) -> None:
         job = self.job
         while not self.caller_gone:
-            if self.next < job.produced:
+            if self.next < job.produced_tokens:
                 await self._send_produced(send)
-            elif job.live:
+            elif job.active:
                 await job.wait_for_change()
             else:
                 await self._send_end(send)
                 return
 
     async def _send_produced(self, send: Send) -> None:
-        first, end = self.next, self.job.produced
+        first, end = self.next, self.job.produced_tokens
         self.next = end
         self.history.add(
             self.actor,
@@ -180,12 +180,12 @@
             first=first,
             count=end - first,
         )
-        await _send_text(send, self.writer.frames(first, end), more=True)
+        await _send_text(send, self.writer.token_events(first, end), more=True)
 
     async def _send_end(self, send: Send) -> None:
-        text = DONE_FRAME
+        text = DONE_EVENT
         if self.job.state is JobState.CANCELLED:
-            text = self.writer.cancelled_frame(self.next) + text
+            text = self.writer.cancelled_event(self.next) + text
         await _send_text(send, text, more=False)
 
 
@@ -199,4 +199,4 @@
     )
 
 
-__all__ = ["FrameResponse", "FrameWriter", "usage", "whole_answer"]
+__all__ = ["SseResponse", "SseEventWriter", "usage", "completion_response"]
--- a/src/auburnswitch/standins/history.py
+++ b/src/auburnswitch/standins/history.py
@@ -57,7 +57,7 @@
         self.kind = kind
         self.fields = fields
 
-    def to_line(self) -> str:
+    def to_json_line(self) -> str:
         """Returns the record as one line of JSON."""
         head = {"time_s": self.time_s, "actor": self.actor, "kind": self.kind}
         return json.dumps({**head, **self.fields}, separators=(",", ":"))
@@ -99,7 +99,7 @@
 
     def dump(self) -> str:
         """Returns all records as JSON lines."""
-        return "".join(record.to_line() + "\n" for record in self.records)
+        return "".join(record.to_json_line() + "\n" for record in self.records)
 
 
 __all__ = ["History", "HistoryKind", "HistoryRecord"]
--- a/src/auburnswitch/standins/installation_store.py
+++ b/src/auburnswitch/standins/installation_store.py
@@ -36,17 +36,17 @@
     Attributes:
         objects: Objects by kind and name.
         revision: Number of the last change.
-        down: Every call is refused with 503.
+        unavailable: Every call is refused with 503.
         calls: Calls received.
-        page_items: Objects in one page of a list.
+        page_size: Objects in one page of a list.
     """
 
     def __init__(self) -> None:
         self.objects: dict[str, dict[str, dict[str, Any]]] = {}
         self.revision = 1
-        self.down = False
+        self.unavailable = False
         self.calls = 0
-        self.page_items = 500
+        self.page_size = 500
         self._history: list[_Event] = []
         self._history_from = 0
         self._changed = asyncio.Event()
@@ -77,13 +77,13 @@
             self.revision += 1
             self._note(kind, stored, deleted=True)
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drops the history, so that earlier watches end with 410."""
         self._history.clear()
         self._history_from = self.revision
         self._wake()
 
-    def build(self) -> Starlette:
+    def make_app(self) -> Starlette:
         """Returns the ASGI application."""
         path = "/v1/objects/{kind}"
         return Starlette(
@@ -113,7 +113,7 @@
 
     def _refused(self) -> Response | None:
         self.calls += 1
-        return Response(status_code=_UNAVAILABLE) if self.down else None
+        return Response(status_code=_UNAVAILABLE) if self.unavailable else None
 
     async def _get(self, request: Request) -> Response:
         if refused := self._refused():
@@ -126,7 +126,7 @@
         after = query.get("AfterRev", "")
         found = sorted(self.objects.get(kind, {}).items())
         items = [stored for name, stored in found if name > after]
-        page = items[: self.page_items]
+        page = items[: self.page_size]
         return JSONResponse(
             {
                 "Items": page,
@@ -147,7 +147,7 @@
                 if event.kind == kind and event.revision > revision
             ]
             left_s = ends_at - loop.time()
-            if events or left_s <= 0 or self.down:
+            if events or left_s <= 0 or self.unavailable:
                 break
             changed = self._changed
             try:
@@ -155,7 +155,7 @@
                     await changed.wait()
             except TimeoutError:
                 continue
-        if self.down:
+        if self.unavailable:
             return Response(status_code=_UNAVAILABLE)
         shown = [{"Object": e.stored, "Deleted": e.deleted} for e in events]
         return JSONResponse({"events": shown, "AsOf": self.revision})
--- a/src/auburnswitch/standins/instances.py
+++ b/src/auburnswitch/standins/instances.py
@@ -5,7 +5,7 @@
 import enum
 from typing import Any, Final
 
-from auburnswitch.standins.lagged import Lagged
+from auburnswitch.standins.lagged_value import LaggedValue
 
 DEFAULT_INSTANCES_LAG_S: Final = 2.0
 
@@ -39,7 +39,7 @@
 
     def __init__(self, *, lag_s: float = DEFAULT_INSTANCES_LAG_S) -> None:
         self._entries: dict[str, Instance] = {}
-        self._past: Lagged[list[Instance]] = Lagged(lag_s=lag_s)
+        self._past: LaggedValue[list[Instance]] = LaggedValue(lag_s=lag_s)
         self._past.record([])
 
     def set(
--- a/src/auburnswitch/standins/lagged.py
+++ b/src/auburnswitch/standins/lagged_value.py
@@ -10,7 +10,7 @@
 ValueT = TypeVar("ValueT")
 
 
-class Lagged(Generic[ValueT]):
+class LaggedValue(Generic[ValueT]):
     """Remembers a value's past for as long as its lag.
 
     Attributes:
@@ -50,4 +50,4 @@
             self._past.popleft()
 
 
-__all__ = ["Lagged"]
+__all__ = ["LaggedValue"]
--- a/src/auburnswitch/standins/listener.py
+++ b/src/auburnswitch/standins/listener.py
@@ -15,11 +15,11 @@
     from starlette.types import ASGIApp, Receive, Scope, Send
     from uvicorn.protocols.http.h11_impl import H11Protocol
 
-ARRIVED_S: Final[contextvars.ContextVar[float]] = contextvars.ContextVar(
+ARRIVAL_TIME_S: Final[contextvars.ContextVar[float]] = contextvars.ContextVar(
     "arrived_s"
 )
 MAX_HEADER_BYTES: Final = 65536
-CLOCK_MARGIN_S: Final = 1e-5
+CLOCK_TOLERANCE_S: Final = 1e-5
 
 
 def seconds_until(time_s: float) -> float:
@@ -29,7 +29,7 @@
     end on a loop whose clock only moves while nothing is ready.
     """
     left_s = time_s - asyncio.get_running_loop().time()
-    return left_s if left_s > CLOCK_MARGIN_S else 0.0
+    return left_s if left_s > CLOCK_TOLERANCE_S else 0.0
 
 
 class Pause:
@@ -119,25 +119,25 @@
         except asyncio.CancelledError:
             if task not in self._aborted:
                 raise
-            await wait_disconnected(receive)  # the server must see it first
+            await wait_for_disconnect(receive)  # the server must see it first
         finally:
             del self._requests[task]
             self._aborted.discard(task)
 
     async def _run(self, scope: Scope, receive: Receive, send: Send) -> None:
         if not self._open:
-            await self.drop_request(scope, receive)  # it came too late
+            await self.abort_request(scope, receive)  # it came too late
             return
         silent_s = seconds_until(self._silent_until_s)
         if silent_s:
             await asyncio.sleep(silent_s)
-            await self.drop_request(scope, receive)  # its process is gone
+            await self.abort_request(scope, receive)  # its process is gone
             return
-        ARRIVED_S.set(asyncio.get_running_loop().time())
+        ARRIVAL_TIME_S.set(asyncio.get_running_loop().time())
         await self.pause.wait()
         await self.app(scope, receive, send)
 
-    def take_down(self, seconds: float, *, silent: bool = False) -> None:
+    def stop_for(self, seconds: float, *, silent: bool = False) -> None:
         """Breaks every connection and is down for a time.
 
         Args:
@@ -167,13 +167,13 @@
             self._aborted.add(task)
             task.cancel()
 
-    async def drop_request(self, scope: Scope, receive: Receive) -> None:
+    async def abort_request(self, scope: Scope, receive: Receive) -> None:
         """Breaks the connection of one request."""
         assert self._server is not None
         for connection in list(self._server.server.server_state.connections):
             if connection.scope is scope:
                 connection.transport.abort()
-        await wait_disconnected(receive)
+        await wait_for_disconnect(receive)
 
     async def run(self, started: asyncio.Future[None]) -> None:
         """Listens until cancelled, opening again after each time down.
@@ -243,16 +243,16 @@
             await task
 
 
-async def wait_disconnected(receive: Receive) -> None:
+async def wait_for_disconnect(receive: Receive) -> None:
     """Returns once the caller of a request has gone."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
 __all__ = [
-    "ARRIVED_S",
+    "ARRIVAL_TIME_S",
     "Listener",
     "Pause",
     "open_listener",
-    "wait_disconnected",
+    "wait_for_disconnect",
 ]
--- a/src/auburnswitch/standins/lost_answer.py
+++ b/src/auburnswitch/standins/lost_response.py
@@ -6,13 +6,13 @@
 
 from starlette.responses import Response
 
-from auburnswitch.standins.listener import Listener, wait_disconnected
+from auburnswitch.standins.listener import Listener, wait_for_disconnect
 
 if TYPE_CHECKING:
     from starlette.types import Receive, Scope, Send
 
 
-class LostAnswer(Response):
+class LostResponse(Response):
     """Gives no answer: breaks the connection or leaves the caller waiting."""
 
     def __init__(self, *, listener: Listener, hang: bool) -> None:
@@ -25,9 +25,9 @@
     ) -> None:
         """Ends the request without an answer."""
         if self.hang:
-            await wait_disconnected(receive)
+            await wait_for_disconnect(receive)
         else:
-            await self.listener.drop_request(scope, receive)
+            await self.listener.abort_request(scope, receive)
 
 
-__all__ = ["LostAnswer"]
+__all__ = ["LostResponse"]
--- a/src/auburnswitch/standins/object_store.py
+++ b/src/auburnswitch/standins/object_store.py
@@ -38,7 +38,7 @@
         return {"kind": self.kind, **self.changed.to_json()}
 
 
-class ConditionFailedError(Exception):
+class PreconditionFailedError(Exception):
     """A conditional write met another version, 0 if there is no object."""
 
     def __init__(self, version: int) -> None:
@@ -81,44 +81,44 @@
         return present.version if present is not None else 0
 
     def put(
-        self, key: str, value: Any, expected: int | None = None
+        self, key: str, value: Any, expected_version: int | None = None
     ) -> StoredObject:
         """Writes an object.
 
         Args:
             key: The object's key.
             value: Its new value, JSON types.
-            expected: Version it must have, 0 for absent, None for any.
+            expected_version: Version it must have, 0 for absent, None for any.
 
         Returns:
             The object as written.
 
         Raises:
-            ConditionFailedError: It has another version.
+            PreconditionFailedError: It has another version.
         """
-        self._check(key, expected)
+        self._check(key, expected_version)
         self.revision += 1
         written = StoredObject(key=key, version=self.revision, value=value)
         self.objects[key] = written
         self._publish(StoreEvent(kind="put", changed=written))
         return written
 
-    def delete(self, key: str, expected: int | None = None) -> bool:
+    def delete(self, key: str, expected_version: int | None = None) -> bool:
         """Deletes an object.
 
         Args:
             key: The object's key.
-            expected: Version it must have, None for any.
+            expected_version: Version it must have, None for any.
 
         Returns:
             Whether there was one.
 
         Raises:
-            ConditionFailedError: It has another version.
+            PreconditionFailedError: It has another version.
         """
         if key not in self.objects:
             return False
-        self._check(key, expected)
+        self._check(key, expected_version)
         self.revision += 1
         del self.objects[key]
         gone = StoredObject(key=key, version=self.revision, value=None)
@@ -154,14 +154,14 @@
         finally:
             del self._waiters[waiter]
 
-    def wake_all(self) -> None:
+    def notify_all_waiters(self) -> None:
         """Wakes every waiter although nothing has changed."""
         self._wake("")
 
-    def _check(self, key: str, expected: int | None) -> None:
+    def _check(self, key: str, expected_version: int | None) -> None:
         version = self.version(key)
-        if expected is not None and expected != version:
-            raise ConditionFailedError(version)
+        if expected_version is not None and expected_version != version:
+            raise PreconditionFailedError(version)
 
     def _publish(self, event: StoreEvent) -> None:
         self._events.append(event)
@@ -179,7 +179,7 @@
 
 __all__ = [
     "CompactedError",
-    "ConditionFailedError",
+    "PreconditionFailedError",
     "ObjectStore",
     "StoreEvent",
     "StoredObject",
--- a/src/auburnswitch/standins/plain_api.py
+++ b/src/auburnswitch/standins/plain_api.py
@@ -12,8 +12,8 @@
 
 from auburnswitch.standins.control import control_routes
 from auburnswitch.standins.history import HistoryKind
-from auburnswitch.standins.listener import ARRIVED_S
-from auburnswitch.standins.lost_answer import LostAnswer
+from auburnswitch.standins.listener import ARRIVAL_TIME_S
+from auburnswitch.standins.lost_response import LostResponse
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -42,11 +42,11 @@
         one = "/bookings/{id}"
         return [
             Route("/slots", self.list_slots, methods=["GET"]),
-            Route("/bookings", self.book, methods=["POST"]),
-            Route(one, self.show_booking, methods=["GET"]),
-            Route(one, self.change_booking, methods=["PUT"]),
+            Route("/bookings", self.create_booking, methods=["POST"]),
+            Route(one, self.get_booking, methods=["GET"]),
+            Route(one, self.update_booking, methods=["PUT"]),
             Route(one, self.cancel_booking, methods=["DELETE"]),
-            Route("/load", self.show_load, methods=["GET"]),
+            Route("/load", self.get_load, methods=["GET"]),
         ]
 
     async def list_slots(self, request: Request) -> Response:
@@ -54,24 +54,24 @@
         async with self._run(request):
             return self._answer({"slots": list(SLOTS)})
 
-    async def book(self, request: Request) -> Response:
+    async def create_booking(self, request: Request) -> Response:
         """Makes a booking, also when it has been made before."""
         try:
             details = await request.json()
         except ValueError as error:
             return JSONResponse({"error": str(error)}, 400)
         async with self._run(request):
-            self.service.booked += 1
-            booking_id = f"b{self.service.booked}"
+            self.service.booking_count += 1
+            booking_id = f"b{self.service.booking_count}"
             self.service.bookings[booking_id] = details
             return self._booking_answer(booking_id, 201)
 
-    async def show_booking(self, request: Request) -> Response:
+    async def get_booking(self, request: Request) -> Response:
         """Shows a booking."""
         async with self._run(request):
             return self._booking_answer(request.path_params["id"])
 
-    async def change_booking(self, request: Request) -> Response:
+    async def update_booking(self, request: Request) -> Response:
         """Replaces a booking."""
         try:
             details = await request.json()
@@ -91,7 +91,7 @@
             self.service.bookings.pop(booking_id, None)
             return answer
 
-    async def show_load(self, request: Request) -> Response:
+    async def get_load(self, request: Request) -> Response:
         """Reports the load of a short time ago."""
         return JSONResponse(self.service.load.read())
 
@@ -108,7 +108,7 @@
             attempt=headers.get("x-attempt", ""),
             idempotency_key=headers.get("idempotency-key", ""),
             leaving=service.leaving,
-            arrived_s=ARRIVED_S.get(None),
+            arrived_s=ARRIVAL_TIME_S.get(None),
         )
         boot_id = service.boot_id
         service.running += 1
@@ -132,7 +132,7 @@
         service = self.service
         if service.lose_answers > 0:
             service.lose_answers -= 1
-            return LostAnswer(listener=service.listener, hang=False)
+            return LostResponse(listener=service.listener, hang=False)
         if service.fail_next > 0:
             service.fail_next -= 1
             return JSONResponse({"error": "failed"}, 500)
--- a/src/auburnswitch/standins/plain_service.py
+++ b/src/auburnswitch/standins/plain_service.py
@@ -7,7 +7,7 @@
 
 from auburnswitch.standins.control import set_switches
 from auburnswitch.standins.history import History, HistoryKind
-from auburnswitch.standins.lagged import Lagged
+from auburnswitch.standins.lagged_value import LaggedValue
 from auburnswitch.standins.listener import Listener, Pause, open_listener
 from auburnswitch.standins.plain_api import plain_app
 
@@ -38,7 +38,7 @@
     Attributes:
         name: Actor in the history.
         history: Where it records each run.
-        booked: Count of bookings ever made.
+        booking_count: Count of bookings ever made.
         bookings: What callers booked, by id; it outlives a crash.
         service_time_s: Time that each request takes.
         fail_next: Requests, from now on, that are answered 500 after they
@@ -59,7 +59,7 @@
         "_boots",
         "_leaving",
         "_listener",
-        "booked",
+        "booking_count",
         "bookings",
         "boot_id",
         "fail_next",
@@ -89,7 +89,7 @@
         self.history = history if history is not None else History()
         self.incarnation = incarnation
         self.bookings: dict[str, Any] = {}
-        self.booked = 0
+        self.booking_count = 0
         self.service_time_s = service_time_s
         self.fail_next = 0
         self.lose_answers = 0
@@ -100,7 +100,7 @@
         self._leaving = False
         self._boots = 0
         self._listener: Listener | None = None
-        self.load: Lagged[dict[str, Any]] = Lagged(lag_s=load_lag_s)
+        self.load: LaggedValue[dict[str, Any]] = LaggedValue(lag_s=load_lag_s)
         self._boot()
 
     @property
@@ -137,7 +137,7 @@
         """Drops connections and what runs, and restarts later."""
         self.history.add(self.name, HistoryKind.CRASHED, boot_id=self.boot_id)
         if self._listener is not None:
-            self._listener.take_down(self.restart_s, silent=self.restart_silent)
+            self._listener.stop_for(self.restart_s, silent=self.restart_silent)
         self.pause.end()
         self._boot()
 
--- a/src/auburnswitch/standins/platform.py
+++ b/src/auburnswitch/standins/platform.py
@@ -41,8 +41,8 @@
         max_value_bytes: Largest value.
         calls: Counts of calls by kind.
         statuses: Counts of answers by status.
-        writes: Rate limit of writes.
-        reads: Rate limit of reads.
+        write_limiter: Rate limit of writes.
+        read_limiter: Rate limit of reads.
         delay_s: Time that each call takes.
         lose_answers: Writes, from now on, whose answers are lost.
         hang_lost: A lost answer never comes, instead of a broken connection.
@@ -61,11 +61,11 @@
         "lose_answers",
         "max_value_bytes",
         "name",
-        "reads",
+        "read_limiter",
         "statuses",
         "store",
         "watch_broken",
-        "writes",
+        "write_limiter",
     )
 
     def __init__(
@@ -86,10 +86,12 @@
         self.max_value_bytes = max_value_bytes
         self.calls: collections.Counter[str] = collections.Counter()
         self.statuses: collections.Counter[int] = collections.Counter()
-        self.writes = TokenBucket(
+        self.write_limiter = TokenBucket(
             rate=writes_per_second, burst=writes_per_second
         )
-        self.reads = TokenBucket(rate=reads_per_second, burst=reads_per_second)
+        self.read_limiter = TokenBucket(
+            rate=reads_per_second, burst=reads_per_second
+        )
         self.delay_s = 0.0
         self.lose_answers = 0
         self.hang_lost = False
@@ -118,7 +120,7 @@
     @outage.setter
     def outage(self, value: bool) -> None:
         self._outage = value
-        self.store.wake_all()
+        self.store.notify_all_waiters()
 
     @property
     def silent(self) -> bool:
@@ -132,7 +134,7 @@
         else:
             self._unsilenced.set()
 
-    async def wait_unsilenced(self) -> None:
+    async def wait_until_not_silent(self) -> None:
         """Returns once calls are answered."""
         await self._unsilenced.wait()
 
--- a/src/auburnswitch/standins/platform_api.py
+++ b/src/auburnswitch/standins/platform_api.py
@@ -13,12 +13,12 @@
 
 from auburnswitch.standins.control import control_routes
 from auburnswitch.standins.history import HistoryKind
-from auburnswitch.standins.lost_answer import LostAnswer
+from auburnswitch.standins.lost_response import LostResponse
 from auburnswitch.standins.object_store import (
     CompactedError,
-    ConditionFailedError,
+    PreconditionFailedError,
 )
-from auburnswitch.standins.token_bucket import TokenBucket, retry_after
+from auburnswitch.standins.token_bucket import TokenBucket, retry_after_header
 
 if TYPE_CHECKING:
     from starlette.requests import Request
@@ -55,7 +55,7 @@
     async def get(self, request: Request) -> Response:
         """Answers with one object."""
         platform = self.platform
-        refusal = await self._refusal("get", platform.reads)
+        refusal = await self._refusal("get", platform.read_limiter)
         if refusal is not None:
             return refusal
         found = platform.store.objects.get(request.path_params["key"])
@@ -66,7 +66,7 @@
     async def list_objects(self, request: Request) -> Response:
         """Lists the objects under a prefix."""
         platform = self.platform
-        refusal = await self._refusal("list", platform.reads)
+        refusal = await self._refusal("list", platform.read_limiter)
         if refusal is not None:
             return refusal
         prefix = request.query_params.get("prefix", "")
@@ -79,7 +79,7 @@
         """Writes an object."""
         platform = self.platform
         body = await request.body()
-        refusal = await self._refusal("put", platform.writes)
+        refusal = await self._refusal("put", platform.write_limiter)
         if refusal is not None:
             return refusal
         if len(body) > platform.max_value_bytes:
@@ -90,14 +90,14 @@
             written = platform.store.put(key, value, _expected(request))
         except ValueError as error:
             return self._answer({"error": str(error)}, 400)
-        except ConditionFailedError as error:
+        except PreconditionFailedError as error:
             return self._answer({"version": error.version}, 412)
         return self._write_answer("put", key, written.version)
 
     async def delete(self, request: Request) -> Response:
         """Deletes an object."""
         platform = self.platform
-        refusal = await self._refusal("delete", platform.writes)
+        refusal = await self._refusal("delete", platform.write_limiter)
         if refusal is not None:
             return refusal
         key = request.path_params["key"]
@@ -105,7 +105,7 @@
             existed = platform.store.delete(key, _expected(request))
         except ValueError as error:
             return self._answer({"error": str(error)}, 400)
-        except ConditionFailedError as error:
+        except PreconditionFailedError as error:
             return self._answer({"version": error.version}, 412)
         if not existed:
             return self._answer({"error": "no such object"}, 404)
@@ -113,7 +113,7 @@
 
     async def watch(self, request: Request) -> Response:
         """Waits for changes under a prefix after a revision."""
-        refusal = await self._refusal("watch", self.platform.reads)
+        refusal = await self._refusal("watch", self.platform.read_limiter)
         if refusal is not None:
             return refusal
         query = request.query_params
@@ -141,7 +141,7 @@
 
     async def _watch_answer(self, prefix: str, since: int) -> Response:
         platform = self.platform
-        await platform.wait_unsilenced()
+        await platform.wait_until_not_silent()
         if platform.outage:
             return self._answer({"error": "outage"}, 503)
         if platform.watch_broken:
@@ -156,7 +156,7 @@
 
     async def list_instances(self, request: Request) -> Response:
         """Lists the instances of a short time ago."""
-        refusal = await self._refusal("instances", self.platform.reads)
+        refusal = await self._refusal("instances", self.platform.read_limiter)
         if refusal is not None:
             return refusal
         entries = [e.to_json() for e in self.platform.instances.read()]
@@ -167,12 +167,12 @@
         platform.calls[kind] += 1
         if platform.delay_s:
             await asyncio.sleep(platform.delay_s)
-        await platform.wait_unsilenced()
+        await platform.wait_until_not_silent()
         if platform.outage:
             return self._answer({"error": "outage"}, 503)
         wait_s = bucket.take()
         if wait_s:
-            return self._answer({}, 429, retry_after(wait_s))
+            return self._answer({}, 429, retry_after_header(wait_s))
         return None
 
     def _answer(
@@ -197,7 +197,7 @@
         if platform.lose_answers > 0:
             platform.lose_answers -= 1
             history.add(name, HistoryKind.ANSWER_LOST, key=key, version=version)
-            return LostAnswer(
+            return LostResponse(
                 listener=platform.listener, hang=platform.hang_lost
             )
         return self._answer({"key": key, "version": version})
--- a/src/auburnswitch/standins/token_bucket.py
+++ b/src/auburnswitch/standins/token_bucket.py
@@ -39,9 +39,9 @@
         return (1 - self.tokens) / self.rate
 
 
-def retry_after(wait_s: float) -> dict[str, str]:
+def retry_after_header(wait_s: float) -> dict[str, str]:
     """Returns the `Retry-After` header for a wait."""
     return {"Retry-After": str(max(1, math.ceil(wait_s)))}
 
 
-__all__ = ["TokenBucket", "retry_after"]
+__all__ = ["TokenBucket", "retry_after_header"]
--- a/src/auburnswitch/standins/weights.py
+++ b/src/auburnswitch/standins/weight_store.py
@@ -12,7 +12,7 @@
 from auburnswitch.standins.control import control_routes, set_switches
 from auburnswitch.standins.history import History, HistoryKind
 from auburnswitch.standins.listener import Listener, open_listener
-from auburnswitch.standins.token_bucket import TokenBucket, retry_after
+from auburnswitch.standins.token_bucket import TokenBucket, retry_after_header
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -31,19 +31,19 @@
     Attributes:
         name: Actor in the history.
         history: Where it records the loads that it grants.
-        loads: Rate limit of loads.
+        load_limiter: Rate limit of loads.
         sizes_bytes: Sizes of weights by name; others have a default size.
-        refused: Count of loads that were refused by the rate limit.
+        rejected_loads: Count of loads that were refused by the rate limit.
         outage: Every call is answered 503.
     """
 
     __slots__ = (
         "_listener",
         "history",
-        "loads",
+        "load_limiter",
         "name",
         "outage",
-        "refused",
+        "rejected_loads",
         "sizes_bytes",
     )
 
@@ -57,9 +57,11 @@
     ) -> None:
         self.name = name
         self.history = history if history is not None else History()
-        self.loads = TokenBucket(rate=loads_per_second, burst=burst_loads)
+        self.load_limiter = TokenBucket(
+            rate=loads_per_second, burst=burst_loads
+        )
         self.sizes_bytes: dict[str, int] = {}
-        self.refused = 0
+        self.rejected_loads = 0
         self.outage = False
         self._listener: Listener | None = None
 
@@ -82,10 +84,10 @@
     async def _start_load(self, request: Request) -> Response:
         if self.outage:
             return JSONResponse({"error": "outage"}, 503)
-        wait_s = self.loads.take()
+        wait_s = self.load_limiter.take()
         if wait_s:
-            self.refused += 1
-            return JSONResponse({}, 429, retry_after(wait_s))
+            self.rejected_loads += 1
+            return JSONResponse({}, 429, retry_after_header(wait_s))
         name = request.path_params["name"]
         version = request.path_params["version"]
         self.history.add(
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -21,7 +21,7 @@
     ServiceKind,
 )
 from auburnswitch.standins.answers import answer_text, prompt_digest
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from auburnswitch.standins.history import HistoryKind
 from tests.virtual_time import SimulatedConnector, run_virtual
 
--- a/tests/cli/test_against_daemon.py
+++ b/tests/cli/test_against_daemon.py
@@ -14,7 +14,7 @@
     CALLER_KEYS,
     open_installation,
 )
-from auburnswitch.standins.operators import HOST
+from auburnswitch.standins.installation_objects import HOST
 from tests.processes import CALLER_KEY, first_ticket, open_process_fleet
 
 LIMIT_S = 60
--- a/tests/endpoints/test_cold_bound.py
+++ b/tests/endpoints/test_cold_bound.py
@@ -6,7 +6,7 @@
 import unittest
 
 from auburnswitch.experiments.freezing import FreezableLoop
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
 from tests.virtual_time import run_virtual
 
--- a/tests/endpoints/test_engine_reconciler.py
+++ b/tests/endpoints/test_engine_reconciler.py
@@ -20,10 +20,10 @@
 from auburnswitch.schema.objects import Change, Endpoint, ObjectKind
 from auburnswitch.schema.settings import EndpointsSettings, PlatformSettings
 from auburnswitch.standins.engine import open_engine
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from auburnswitch.standins.history import HistoryKind
 from auburnswitch.standins.platform import open_platform
-from auburnswitch.standins.weights import open_weight_store
+from auburnswitch.standins.weight_store import open_weight_store
 from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
 from tests.endpoints.manager_support import ENGINE, make_endpoint_manager
 from tests.virtual_time import open_session, run_virtual
@@ -48,7 +48,7 @@
 async def wait_version(bench: FleetHarness, version: str) -> None:
     """Waits until the engine has loaded a version."""
     async with asyncio.timeout(60):
-        while bench.fleet.engines[ENGINE].orders.version != version:
+        while bench.fleet.engines[ENGINE].order_state.version != version:
             await asyncio.sleep(0.1)
 
 
@@ -105,7 +105,7 @@
                 await wait_version(bench, "v3")
                 bench.fleet.thaw_daemon(number_of(owner))
                 await asyncio.sleep(40)
-                version = bench.fleet.engines[ENGINE].orders.version
+                version = bench.fleet.engines[ENGINE].order_state.version
                 applied = bench.fleet.history.select(HistoryKind.ORDER_APPLIED)
                 return version, [r.fields["fencing_number"] for r in applied]
 
@@ -123,7 +123,7 @@
                 _,
             ):
                 await asyncio.sleep(10)
-                return engine.orders.fencing_number
+                return engine.order_state.fencing_number
 
         self.assertEqual(run_virtual(scenario), 0)
 
@@ -139,9 +139,12 @@
                     engine,
                     _,
                 ):
-                    engine.orders.fencing_number = 7
+                    engine.order_state.fencing_number = 7
                     await asyncio.sleep(10)
-                    found = engine.orders.version, engine.orders.fencing_number
+                    found = (
+                        engine.order_state.version,
+                        engine.order_state.fencing_number,
+                    )
                     platform.lose_answers = 1
                     taken = await fencing_numbers.allocate(ENGINE)
                     return *found, taken
@@ -163,10 +166,10 @@
                 lambda *_: Numbers(), checks_fencing=False
             ) as (engine, _):
                 await asyncio.sleep(10)
-                first = engine.orders.version
-                engine.orders.version = "v1"  # an old order came late
+                first = engine.order_state.version
+                engine.order_state.version = "v1"  # an old order came late
                 await asyncio.sleep(60)
-                return first, engine.orders.version
+                return first, engine.order_state.version
 
         self.assertEqual(run_virtual(scenario), ("v2", "v2"))
 
@@ -185,7 +188,7 @@
                     while monotonic_s() < end_at:
                         granted += await load_limiter.may_load("m", "v2")
                         await asyncio.sleep(0.5)
-                return granted, weights.refused
+                return granted, weights.rejected_loads
 
         granted, refused = run_virtual(scenario)
         self.assertEqual(granted, 8)  # 0.4 loads/s shared by three daemons
--- a/tests/endpoints/test_orphans.py
+++ b/tests/endpoints/test_orphans.py
@@ -42,7 +42,7 @@
     start = monotonic_s()
     engine = bench.fleet.engines[ENGINE]
     async with asyncio.timeout(FREED_WITHIN_S):
-        while engine.batch.memory_used:
+        while engine.batch.memory_used_tokens:
             await asyncio.sleep(0.1)
     return monotonic_s() - start
 
@@ -151,7 +151,7 @@
                         peer.heard_at = monotonic_s()
                         await asyncio.sleep(2)
                         await collector.collect_if_due(ledger)
-                    used.append(engine.batch.memory_used > 0)
+                    used.append(engine.batch.memory_used_tokens > 0)
                 return used
 
         self.assertEqual(run_virtual(scenario), [True, False])
--- a/tests/endpoints/test_unschedulable.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -11,7 +11,7 @@
 from auburnswitch.experiments.fleet import FleetOptions
 from auburnswitch.experiments.freezing import FreezableLoop
 from auburnswitch.object_store.store import StoreUnavailable
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from auburnswitch.standins.history import HistoryKind
 from auburnswitch.standins.instances import InstanceState
 from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -39,7 +39,7 @@
 
     async def test_history_is_forgotten(self):
         async with open_installation() as fleet:
-            fleet.store.forget_history()
+            fleet.store.compact_history()
             fleet.store.put("config", "main", make_config(2))
             known = fleet.daemons[0].installation
             await until(lambda: known.config_version == 2, 1.5)
@@ -76,8 +76,8 @@
 
     async def test_pages_of_a_list(self):
         async with open_installation(engines=3, desks=3) as fleet:
-            fleet.store.page_items = 2
-            fleet.store.forget_history()
+            fleet.store.page_size = 2
+            fleet.store.compact_history()
             fleet.put_entry("desk-0", "desk", Slots=9)
             known = fleet.daemons[0].installation
             await until(lambda: known.endpoints["desk-0"].entry.slots == 9, 2.0)
@@ -155,10 +155,10 @@
     async def test_lapsed_entries_are_kept_while_they_may_come_back(self):
         async with open_installation(desks=1) as fleet:
             known = fleet.daemons[0].installation
-            fleet.store.down = True
+            fleet.store.unavailable = True
             await until(lambda: fleet.daemons[0].follower.failed_at)
             fleet.store.remove("servers", "desk-0")
-            fleet.store.down = False
+            fleet.store.unavailable = False
             await until(lambda: known.endpoints["desk-0"].gone_at)
             self.assertEqual((await fleet.call("/book/1"))[0], 200)
             await until(lambda: not open_desks(known), 3.0)
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -13,7 +13,7 @@
     open_installation,
     until,
 )
-from auburnswitch.standins.runner import Fault
+from auburnswitch.standins.endpoint import Fault
 
 SHORT = "1000,50"
 
@@ -47,7 +47,7 @@
         self.assertEqual(fleet.arrivals, [])
 
     async def test_non_idempotent_is_sent_once(self):
-        for fault in (Fault.CUT, Fault.OTHER_ID, Fault.UNSIGNED):
+        for fault in (Fault.DISCONNECT, Fault.WRONG_REQUEST_ID, Fault.UNSIGNED):
             with self.subTest(fault):
                 async with open_installation() as fleet:
                     for runner in fleet.runners.values():
@@ -60,7 +60,7 @@
     async def test_own_error_of_an_endpoint_is_passed_on(self):
         async with open_installation() as fleet:
             for runner in fleet.runners.values():
-                runner.faults.append(Fault.ERROR)
+                runner.faults.append(Fault.SERVER_ERROR)
             status, body, headers = await fleet.call("/book/1")
         self.assertEqual((status, body), (500, b"failed"))
         self.assertIn("x-response-seal", headers)
@@ -69,14 +69,18 @@
     async def test_refusal_as_not_run_may_be_sent_elsewhere(self):
         async with open_installation() as fleet:
             for name in ("desk-0", "desk-1"):
-                fleet.runners[name].faults.append(Fault.NOT_RUN)
+                fleet.runners[name].faults.append(Fault.NOT_EXECUTED)
             status, _, headers = await fleet.call("/book/1")
         self.assertEqual(status, 503)
         self.assertIn("retry-after", headers)
         self.assertFalse(any(arrival.ran for arrival in fleet.arrivals))
 
     async def test_idempotent_is_repeated_elsewhere(self):
-        for fault in (Fault.CUT, Fault.ERROR, Fault.OTHER_ID):
+        for fault in (
+            Fault.DISCONNECT,
+            Fault.SERVER_ERROR,
+            Fault.WRONG_REQUEST_ID,
+        ):
             with self.subTest(fault):
                 async with open_installation() as fleet:
                     fleet.runners["desk-0"].faults.append(fault)
@@ -114,7 +118,7 @@
         made["Routes"][2]["TimeoutMs"] = 300
         async with open_installation(first_config=made) as fleet:
             for runner in fleet.runners.values():
-                runner.faults.append(Fault.SILENT)
+                runner.faults.append(Fault.NO_RESPONSE)
             started = asyncio.get_running_loop().time()
             status, _, _ = await fleet.call("/book/1")
             took_s = asyncio.get_running_loop().time() - started
@@ -124,7 +128,7 @@
     async def test_request_that_crashes_endpoints_is_refused(self):
         async with open_installation(desks=4) as fleet:
             for runner in fleet.runners.values():
-                runner.faults.extend([Fault.CUT] * 9)
+                runner.faults.extend([Fault.DISCONNECT] * 9)
             answers = [await fleet.call("/book/7") for _ in range(6)]
             other = await fleet.call("/book/8", body=b"another")
         statuses = [status for status, _, _ in answers]
@@ -145,23 +149,23 @@
     async def test_stream_goes_on_elsewhere_after_a_partial_event(self):
         async with open_installation() as fleet:
             for name in ("engine-0", "engine-1"):
-                fleet.runners[name].faults.append(Fault.CUT_MIDWAY)
+                fleet.runners[name].faults.append(Fault.DISCONNECT_MID_EVENT)
             # the second engine is cut as well unless the first was asked
             fleet.runners["engine-1"].faults.clear()
             fleet.put_entry("engine-1", "engines", State="draining")
             await asyncio.sleep(0.05)
             call = asyncio.create_task(fleet.call("/chat/1", tokens=SHORT))
-            await until(lambda: fleet.runners["engine-0"].arrivals)
+            await until(lambda: fleet.runners["engine-0"].received_requests)
             fleet.put_entry("engine-1", "engines")
             status, body, _ = await call
         self.assertEqual(status, 200)
         self.assertEqual(_ids(body), [1, 2, 3, 4, 5])
-        resumed = fleet.runners["engine-1"].arrivals[0].headers
+        resumed = fleet.runners["engine-1"].received_requests[0].headers
         self.assertEqual(resumed["last-event-id"], "1")
 
     async def test_broken_stream_without_another_engine_looks_cut(self):
         async with open_installation(engines=1) as fleet:
-            fleet.runners["engine-0"].faults.append(Fault.CUT_MIDWAY)
+            fleet.runners["engine-0"].faults.append(Fault.DISCONNECT_MID_EVENT)
             with self.assertRaises(aiohttp.ClientError):
                 await fleet.call("/chat/1", tokens=SHORT)
 
@@ -175,14 +179,14 @@
     async def test_engine_stops_when_the_caller_leaves(self):
         async with open_installation(engines=1) as fleet:
             runner = fleet.runners["engine-0"]
-            runner.events, runner.event_interval_s = 200, 0.02
+            runner.event_count, runner.event_interval_s = 200, 0.02
             call = asyncio.create_task(fleet.call("/chat/1", tokens=SHORT))
-            await until(lambda: runner.arrivals)
+            await until(lambda: runner.received_requests)
             await asyncio.sleep(0.05)
             call.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await call
-            await until(lambda: runner.stopped_early, 0.5)
+            await until(lambda: runner.client_disconnects, 0.5)
 
     async def test_memory_of_a_long_prompt_is_reserved_and_released(self):
         async with open_installation(engines=3) as fleet:
@@ -196,7 +200,7 @@
     async def test_no_memory_is_left_when_one_engine_refuses(self):
         async with open_installation(engines=2) as fleet:
             for runner in fleet.runners.values():
-                runner.free_tokens = 10
+                runner.capacity_tokens = 10
             status, _, headers = await fleet.call("/chat/1", tokens="80000,50")
         self.assertEqual(status, 503)
         self.assertIn("retry-after", headers)
--- a/tests/object_store/test_store.py
+++ b/tests/object_store/test_store.py
@@ -98,8 +98,8 @@
     def test_too_many_calls_are_not_an_outage(self):
         async def scenario():
             async with open_store(calls_per_second=1000) as (platform, store):
-                platform.reads.rate = platform.reads.burst = 5
-                platform.reads.tokens = 0
+                platform.read_limiter.rate = platform.read_limiter.burst = 5
+                platform.read_limiter.tokens = 0
                 read = [await store.get("a") for _ in range(8)]
                 return read, store.breaker.failures
 
--- a/tests/routing/plain_support.py
+++ b/tests/routing/plain_support.py
@@ -103,7 +103,7 @@
         self.run_ids.append(headers[b"x-request-id"].decode())
         if self.drop_next:
             self.drop_next -= 1
-            await self.listener.drop_request(scope, receive)
+            await self.listener.abort_request(scope, receive)
             return
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
--- a/tests/routing/test_cold_fleet.py
+++ b/tests/routing/test_cold_fleet.py
@@ -11,7 +11,7 @@
     FleetOptions,
     open_fleet,
 )
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from tests.virtual_time import SimulatedConnector, run_virtual
 
 PROMPT = "x" * 120_000  # 30,000 tokens; a cold engine bears 20,000
--- a/tests/routing/test_crash_detector.py
+++ b/tests/routing/test_crash_detector.py
@@ -18,7 +18,7 @@
 from auburnswitch.schema.peers import Heartbeat
 from auburnswitch.schema.settings import RoutingSettings
 from auburnswitch.standins.engine_job import CRASH_MARKER
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from auburnswitch.standins.history import HistoryKind
 from tests.virtual_time import SimulatedConnector, run_virtual
 
--- a/tests/routing/test_group_placer.py
+++ b/tests/routing/test_group_placer.py
@@ -18,7 +18,7 @@
 from auburnswitch.experiments.placement import warm_up
 from auburnswitch.routing.group_placer import split_prompt
 from auburnswitch.standins.answers import answer_text, prompt_digest
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from tests.virtual_time import SimulatedConnector, run_virtual
 
 AUTHORIZATION = {"Authorization": f"Bearer {CALLER_KEY}"}
@@ -54,7 +54,7 @@
             await warm_up(fleet)
             result = await scenario(fleet)
             await asyncio.sleep(SETTLED_S)
-            used = [e.batch.memory_used for e in fleet.engines.values()]
+            used = [e.batch.memory_used_tokens for e in fleet.engines.values()]
             reserved = [
                 ledger.reserved_tokens
                 for daemon in fleet.daemons.values()
--- a/tests/routing/test_plain.py
+++ b/tests/routing/test_plain.py
@@ -208,7 +208,7 @@
     def test_unsent_request_drops_its_claim(self):
         async def scenario():
             async with open_bench(routers=2) as bench:
-                bench.service.listener.take_down(5)
+                bench.service.listener.stop_for(5)
                 first = await bench.run(bench.routers[0])
                 await asyncio.sleep(6)
                 second = await bench.run(bench.routers[1])
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -13,7 +13,7 @@
     open_fleet,
 )
 from auburnswitch.experiments.placement import warm_up
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from auburnswitch.standins.history import HistoryKind
 from tests.virtual_time import SimulatedConnector, run_virtual
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -10,7 +10,7 @@
 from auburnswitch.soak.callers import Outcome, wrong_answer
 from auburnswitch.soak.fleet import STREAM_EVENTS, SoakFleet
 from auburnswitch.soak.run import check, soak
-from auburnswitch.standins.runner import Arrival, Runner
+from auburnswitch.standins.endpoint import EndpointStandIn, ReceivedRequest
 
 SEED = 1
 SECONDS = 5
@@ -43,13 +43,13 @@
             return SoakFleet()
 
         self.fleet = asyncio.run(make())
-        self.runner = Runner(runner_id="desk-1")
+        self.runner = EndpointStandIn(endpoint_id="desk-1")
         self.fleet.runners["desk-1"] = self.runner
 
     def arrive(self, times: int, *, ran: bool = True):
         for _ in range(times):
-            self.runner.arrivals.append(
-                Arrival(
+            self.runner.received_requests.append(
+                ReceivedRequest(
                     headers={"x-attempt-id": "r1"},
                     target="/book/1",
                     body=b"",
--- a/tests/standins/engine_client.py
+++ b/tests/standins/engine_client.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from auburnswitch.standins.engine import EngineStandIn, open_engine
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from tests.virtual_time import open_session
 
 if TYPE_CHECKING:
--- a/tests/standins/test_runner.py
+++ b/tests/standins/test_endpoint.py
@@ -5,11 +5,11 @@
 import asyncio
 import unittest
 
-from auburnswitch.standins.runner import Runner
+from auburnswitch.standins.endpoint import EndpointStandIn
 from tests.virtual_time import run_virtual
 
 
-async def order(runner: Runner, **values) -> int:
+async def order(runner: EndpointStandIn, **values) -> int:
     sent = []
 
     async def send(message):
@@ -22,23 +22,23 @@
 class ReservationTest(unittest.TestCase):
     def test_reservation_ends_by_itself_unless_it_is_renewed(self):
         async def run():
-            runner = Runner(runner_id="engine")
+            runner = EndpointStandIn(endpoint_id="engine")
             reserve = {"Op": "reserve", "Id": "k", "Tokens": 60_000}
             self.assertEqual(await order(runner, **reserve, HoldMs=3400), 200)
             await asyncio.sleep(2)
             self.assertEqual(await order(runner, **reserve, HoldMs=3400), 200)
             await asyncio.sleep(2)
-            runner.expire()
+            runner.expire_reservations()
             self.assertIn("k", runner.reservations)
             await asyncio.sleep(2)
-            runner.expire()
+            runner.expire_reservations()
             self.assertEqual(runner.reservations, {})
 
         run_virtual(run)
 
     def test_memory_is_bounded(self):
         async def run():
-            runner = Runner(runner_id="engine")
+            runner = EndpointStandIn(endpoint_id="engine")
             first = {"Op": "reserve", "Id": "a", "Tokens": 60_000}
             second = {"Op": "reserve", "Id": "b", "Tokens": 60_000}
             self.assertEqual(await order(runner, **first, HoldMs=900), 200)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -7,7 +7,7 @@
 
 from auburnswitch.standins.answers import answer_text, prompt_digest
 from auburnswitch.standins.engine import open_engine
-from auburnswitch.standins.engine_model import EngineOptions
+from auburnswitch.standins.engine_options import EngineOptions
 from tests.standins.engine_client import (
     EngineClient,
     frames_text,
@@ -79,12 +79,17 @@
                 await asyncio.sleep(1)
                 task.cancel()
                 await asyncio.sleep(0.5)
-                self.assertEqual(client.engine.batch.memory_used, 102)
+                self.assertEqual(client.engine.batch.memory_used_tokens, 102)
                 _, frames = await client.call("GET", "/v1/streams/r1/1?from=7")
                 _, again = await client.call("GET", "/v1/streams/r1/1")
                 await asyncio.sleep(11)
                 status, _ = await client.call("GET", "/v1/streams/r1/1")
-                return frames, again, status, client.engine.batch.memory_used
+                return (
+                    frames,
+                    again,
+                    status,
+                    client.engine.batch.memory_used_tokens,
+                )
 
         frames, again, status, memory_used = run_virtual(run)
         self.assertEqual(frames[0]["sequence"], 7)
@@ -102,7 +107,7 @@
                 await asyncio.sleep(1)
                 listed = await client.call("GET", "/v1/streams")
                 await client.call("DELETE", "/v1/streams/r1/1")
-                used = client.engine.batch.memory_used
+                used = client.engine.batch.memory_used_tokens
                 return listed[1]["streams"], used, (await task)[1]
 
         listed, used, frames = run_virtual(run)
@@ -161,7 +166,7 @@
             async with open_client(memory_tokens=30_000) as client:
                 requests = [("a", 20_000, 0), ("b", 20_000, 0), ("c", 100, 0)]
                 times = await self.finish_times(client, requests)
-                return times, client.engine.batch.memory_used
+                return times, client.engine.batch.memory_used_tokens
 
         (first_s, second_s, third_s), memory_used = run_virtual(run)
         self.assertAlmostEqual(first_s, 1.03, delta=0.05)
@@ -222,7 +227,7 @@
                 link = {"url": other.url, "kv_id": kv[1]["kv_id"]}
                 answer = await client.complete("b" * 3_600, 5, kv_chain=[link])
                 await helper.call("DELETE", "/v1/kv/" + link["kv_id"])
-                used = other.batch.memory_used
+                used = other.batch.memory_used_tokens
                 gone = await client.complete("b", 5, "r2", kv_chain=[link])
                 return kv[1], listed["caches"], answer[1], used, gone[0]
 
--- a/tests/standins/test_engine_faults.py
+++ b/tests/standins/test_engine_faults.py
@@ -185,10 +185,10 @@
                 await asyncio.sleep(choices.expovariate(10))
                 self.check(client.engine)
             await asyncio.gather(*tasks)
-            for kv_id in list(client.engine.jobs.kv_caches):
+            for kv_id in list(client.engine.job_table.kv_caches):
                 await client.call("DELETE", f"/v1/kv/{kv_id}")
             await asyncio.sleep(60)
-            self.assertEqual(client.engine.batch.memory_used, 0)
+            self.assertEqual(client.engine.batch.memory_used_tokens, 0)
             self.assertEqual(client.engine.batch.jobs(), [])
             return client.engine.history.dump()
 
@@ -213,10 +213,14 @@
 
     def check(self, engine: EngineStandIn) -> None:
         batch = engine.batch
-        held = [job for job in engine.jobs.kv_caches.values() if job.held]
+        held = [
+            job
+            for job in engine.job_table.kv_caches.values()
+            if job.kv_retained
+        ]
         running = [*batch.prefilling, *batch.decoding, *held]
         used = sum(job.memory_tokens for job in running)
-        self.assertEqual(batch.memory_used, used)
+        self.assertEqual(batch.memory_used_tokens, used)
         self.assertLessEqual(used, engine.options.memory_tokens)
 
 
--- a/tests/standins/test_plain_service.py
+++ b/tests/standins/test_plain_service.py
@@ -9,7 +9,7 @@
 
 from auburnswitch.standins.history import HistoryKind
 from auburnswitch.standins.plain_service import open_plain_service
-from auburnswitch.standins.weights import open_weight_store
+from auburnswitch.standins.weight_store import open_weight_store
 from tests.virtual_time import open_session, run_virtual
 
 
