--- a/tests/endpoints/fleet_harness.py
+++ b/tests/endpoints/fleet_harness.py
@@ -60,7 +60,7 @@
         self.watch = watch
 
     def __getattr__(self, name: str) -> Any:
-        if name == "on_changed":
+        if name == "on_load_changed":
             self.watch.note()
         return getattr(self.engine, name)
 
