--- a/src/auburnswitch/standins/engine_api.py
+++ b/src/auburnswitch/standins/engine_api.py
@@ -106,7 +106,10 @@
         return JSONResponse(completion_response(job, work))
 
     def _default_id(self) -> str:
-        return f"{self.engine.boot_id}-{self.engine.job_table.next_arrival_index()}"
+        return (
+            f"{self.engine.boot_id}-"
+            f"{self.engine.job_table.next_arrival_index()}"
+        )
 
     async def _refusal(
         self, parsed: EngineRequest, further_tokens: int
