--- a/src/auburnswitch/callers/entry_app.py
+++ b/src/auburnswitch/callers/entry_app.py
@@ -249,7 +249,7 @@
     ) -> None:
         took_s = monotonic_s() - arrived_at
         kind = outcome.split(",")[0]
-        self.statistics.note_request(request.prompt_tokens, kind, took_s)
+        self.statistics.record_request(request.prompt_tokens, kind, took_s)
         log_event(
             EventId.ENTRY_REQUEST_ENDED,
             request=request.id,
--- a/src/auburnswitch/cli/client.py
+++ b/src/auburnswitch/cli/client.py
@@ -15,8 +15,8 @@
     CommandError,
 )
 
-URL_VARIABLE: Final = "AUBURNSWITCH_URL"
-KEY_FILE_VARIABLE: Final = "AUBURNSWITCH_KEY_FILE"
+URL_ENV_VAR: Final = "AUBURNSWITCH_URL"
+KEY_FILE_ENV_VAR: Final = "AUBURNSWITCH_KEY_FILE"
 DEFAULT_URL: Final = "http://127.0.0.1:8081"
 CALL_TIMEOUT_S: Final = 30.0
 
@@ -32,8 +32,8 @@
     __slots__ = ("key", "url")
 
     def __init__(self, *, url: str = "", key_file: str = "") -> None:
-        url = url or os.environ.get(URL_VARIABLE, DEFAULT_URL)
-        key_file = key_file or os.environ.get(KEY_FILE_VARIABLE, "")
+        url = url or os.environ.get(URL_ENV_VAR, DEFAULT_URL)
+        key_file = key_file or os.environ.get(KEY_FILE_ENV_VAR, "")
         self.url = url.rstrip("/")
         self.key = read_key(key_file) if key_file else ""
 
@@ -94,4 +94,4 @@
         return f"the daemon gave an unexpected answer: {body!r:.200}"
 
 
-__all__ = ["KEY_FILE_VARIABLE", "URL_VARIABLE", "OperatorClient", "read_key"]
+__all__ = ["KEY_FILE_ENV_VAR", "URL_ENV_VAR", "OperatorClient", "read_key"]
--- a/src/auburnswitch/cli/explain.py
+++ b/src/auburnswitch/cli/explain.py
@@ -51,11 +51,11 @@
         CommandError: A file cannot be read, or no line names the request.
     """
     lines = [line for name in log_files for line in read_log(name)]
-    story = find_story(request_id, lines)
+    story = find_request_lines(request_id, lines)
     if not story:
         raise CommandError(f"no line names request {request_id}", EXIT_USAGE)
     for line in story:
-        print(render(line))
+        print(format_line(line))
     return EXIT_OK
 
 
@@ -82,7 +82,7 @@
     return found
 
 
-def find_story(request_id: str, lines: list[LogLine]) -> list[LogLine]:
+def find_request_lines(request_id: str, lines: list[LogLine]) -> list[LogLine]:
     """Returns the lines of a request, with its endpoints' changes meanwhile."""
     own = [
         line
@@ -103,7 +103,7 @@
     return sorted([*own, *context], key=lambda line: line.time)
 
 
-def render(line: LogLine) -> str:
+def format_line(line: LogLine) -> str:
     """Returns one line of the story."""
     fields = line.fields
     parts = [line.time, line.source, str(fields["event_name"])]
@@ -113,4 +113,4 @@
     return " ".join(parts)
 
 
-__all__ = ["explain", "find_story", "read_log", "render"]
+__all__ = ["explain", "find_request_lines", "read_log", "format_line"]
--- a/src/auburnswitch/cli/load.py
+++ b/src/auburnswitch/cli/load.py
@@ -22,7 +22,7 @@
 )
 
 
-def load_target(
+def make_load_target(
     *, model: str, host: str, path: str
 ) -> ModelTarget | RouteTarget:
     """Returns what a load run asks.
@@ -38,7 +38,7 @@
     raise CommandError(message, EXIT_USAGE)
 
 
-def show_load(options: LoadOptions, *, save: str, as_json: bool) -> int:
+def run_load_command(options: LoadOptions, *, save: str, as_json: bool) -> int:
     """Runs a load, shows its report and returns the exit code.
 
     Raises:
@@ -79,4 +79,4 @@
     print(f"took {report['took_s']} s")
 
 
-__all__ = ["load_target", "show_load"]
+__all__ = ["make_load_target", "run_load_command"]
--- a/src/auburnswitch/cli/main.py
+++ b/src/auburnswitch/cli/main.py
@@ -133,19 +133,19 @@
             save: File for the report as JSON.
             json: Print JSON.
         """
-        from auburnswitch.cli.load import load_target, show_load
+        from auburnswitch.cli.load import make_load_target, run_load_command
         from auburnswitch.experiments.load import LoadOptions
 
         options = LoadOptions(
             urls=str(urls).split(","),
             caller_key=read_key(key_file),
-            target=load_target(model=model, host=host, path=path),
+            target=make_load_target(model=model, host=host, path=path),
             requests=requests,
             rate_per_s=rate_per_s,
             answer_tokens=answer_tokens,
             seed=seed,
         )
-        return show_load(options, save=save, as_json=json)
+        return run_load_command(options, save=save, as_json=json)
 
     def explain(self, request_id: str, *log_files: str) -> int:
         """Tells what daemons logged of one request and of its endpoints.
--- a/src/auburnswitch/cli/settings.py
+++ b/src/auburnswitch/cli/settings.py
@@ -10,7 +10,7 @@
 from auburnswitch.cli.errors import EXIT_OK, EXIT_USAGE, CommandError
 from auburnswitch.cli.output import print_json
 from auburnswitch.schema.base import to_json
-from auburnswitch.settings.load import load_entry_settings, load_settings
+from auburnswitch.settings.loader import load_entry_settings, load_settings
 
 if TYPE_CHECKING:
     from auburnswitch.schema.entry import EntrySettings
--- a/src/auburnswitch/cli/tickets.py
+++ b/src/auburnswitch/cli/tickets.py
@@ -21,7 +21,7 @@
 from auburnswitch.schema.base import SchemaError, to_json
 
 WAIT_TIMEOUT_S: Final = 60.0
-WAIT_POLL_S: Final = 0.25
+WAIT_POLL_INTERVAL_S: Final = 0.25
 
 
 class TicketCommands:
@@ -120,7 +120,7 @@
                 "pending": body["pending"],
                 "waited_s": round(waited_s, 3),
             }
-        await asyncio.sleep(WAIT_POLL_S)
+        await asyncio.sleep(WAIT_POLL_INTERVAL_S)
 
 
 def _print_report(report: dict[str, Any]) -> None:
--- a/src/auburnswitch/daemon/parts.py
+++ b/src/auburnswitch/daemon/parts.py
@@ -59,7 +59,7 @@
 from auburnswitch.schema.events import EventId
 from auburnswitch.schema.objects import Member
 from auburnswitch.schema.results import ResultCode
-from auburnswitch.settings.load import read_secret
+from auburnswitch.settings.loader import read_secret
 
 if TYPE_CHECKING:
     import aiohttp
@@ -104,7 +104,9 @@
         seed = settings.daemon.seed or secrets.randbits(_SEED_BITS)
         self.clock = WallClock()
         self.metrics = Metrics()
-        self.metrics.observe_counter("invariant_violations", invariants.observe)
+        self.metrics.register_counter(
+            "invariant_violations", invariants.observe
+        )
         self.state = ConfigState(invariants=invariants)
         self.member = Member(
             id=f"{settings.daemon.instance}.{secrets.token_hex(4)}",
@@ -159,7 +161,7 @@
             "store_calls_made": lambda: self.store.calls,
         }
         for name, read in gauges.items():
-            self.metrics.observe_gauge(name, read)
+            self.metrics.register_gauge(name, read)
 
     def _build_members(self, dial: Dialer) -> None:
         shared_key = read_secret(self.settings.peers.key_file)
--- a/src/auburnswitch/daemon/run.py
+++ b/src/auburnswitch/daemon/run.py
@@ -19,7 +19,7 @@
 from auburnswitch.observe.logs import configure_logs, log_event
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.events import EventId
-from auburnswitch.settings.load import load_settings
+from auburnswitch.settings.loader import load_settings
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
--- a/src/auburnswitch/entry/run.py
+++ b/src/auburnswitch/entry/run.py
@@ -15,11 +15,11 @@
 from auburnswitch.entry.checks import MetricsApp, ReadinessApp
 from auburnswitch.entry.parts import EntryDaemon
 from auburnswitch.http_server import ListenError, open_http_server
-from auburnswitch.observe.bounded_logs import configure_bounded_logs
 from auburnswitch.observe.logs import log_event
+from auburnswitch.observe.nonblocking_logs import configure_nonblocking_logs
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.events import EventId
-from auburnswitch.settings.load import load_entry_settings
+from auburnswitch.settings.loader import load_entry_settings
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -143,7 +143,7 @@
     path = Path(settings_file)
     match load_entry_settings(path):
         case Result(tag="ok", ok=settings):
-            configure_bounded_logs(
+            configure_nonblocking_logs(
                 settings.log.level, settings.log.max_lines_per_s
             )
             return asyncio.run(serve(settings, path))
--- a/src/auburnswitch/observe/entry_metrics.py
+++ b/src/auburnswitch/observe/entry_metrics.py
@@ -14,7 +14,7 @@
 
     from auburnswitch.observe.statistics import EntryStatistics, Histogram
 
-PREFIX: Final = "auburnswitch_entry"
+METRIC_PREFIX: Final = "auburnswitch_entry"
 
 
 class EntryMetrics:
@@ -41,7 +41,9 @@
         self.meter = self.provider.get_meter("auburnswitch")
         self._add_counter("requests", self._requests)
         self._add_counter("retries", self._retries)
-        self._add_histograms("first_event_seconds", statistics.first_event)
+        self._add_histograms(
+            "first_event_seconds", statistics.time_to_first_event
+        )
         self._add_histograms("duration_seconds", statistics.duration)
         for name, read in gauges.items():
             self._add_gauge(name, lambda read=read: [Observation(read())])
@@ -66,7 +68,7 @@
             return read()
 
         self.meter.create_observable_counter(
-            f"{PREFIX}_{name}", callbacks=[observe]
+            f"{METRIC_PREFIX}_{name}", callbacks=[observe]
         )
 
     def _add_gauge(
@@ -76,7 +78,7 @@
             return read()
 
         self.meter.create_observable_gauge(
-            f"{PREFIX}_{name}", callbacks=[observe]
+            f"{METRIC_PREFIX}_{name}", callbacks=[observe]
         )
 
     def _add_histograms(
@@ -84,7 +86,7 @@
     ) -> None:
         def buckets() -> Iterable[Observation]:
             for length, histogram in histograms.items():
-                for bound, count in histogram.cumulative():
+                for bound, count in histogram.cumulative_counts():
                     yield Observation(count, {"length": length, "le": bound})
 
         def sums() -> Iterable[Observation]:
--- a/src/auburnswitch/observe/metrics.py
+++ b/src/auburnswitch/observe/metrics.py
@@ -18,7 +18,7 @@
 
     from opentelemetry.metrics import CallbackT
 
-FIRST_TOKEN_BOUNDS_S: Final = (
+FIRST_TOKEN_BUCKET_BOUNDS_S: Final = (
     0.05,
     0.1,
     0.2,
@@ -34,27 +34,27 @@
     60,
     300,
 )
-FIRST_TOKEN: Final = "auburnswitch_first_token"
+FIRST_TOKEN_METRIC: Final = "auburnswitch_first_token"
 
 
 class Metrics:
     """The instruments of one daemon.
 
     Attributes:
-        first_token: Time to first token by length class, in seconds.
+        time_to_first_token: Time to first token by length class, in seconds.
         requests: Finished requests by result code.
         retries: Attempts after the first.
         late_frames: Frames of another attempt that were dropped.
     """
 
     __slots__ = (
-        "first_token",
         "late_frames",
         "meter",
         "provider",
         "registry",
         "requests",
         "retries",
+        "time_to_first_token",
     )
 
     def __init__(self) -> None:
@@ -64,13 +64,15 @@
             scope_info_enabled=False,
             registry=self.registry,
         )
-        bounds = ExplicitBucketHistogramAggregation(FIRST_TOKEN_BOUNDS_S)
-        view = View(instrument_name=FIRST_TOKEN, aggregation=bounds)
+        bounds = ExplicitBucketHistogramAggregation(FIRST_TOKEN_BUCKET_BOUNDS_S)
+        view = View(instrument_name=FIRST_TOKEN_METRIC, aggregation=bounds)
         self.provider = MeterProvider(
             metric_readers=[reader], views=[view], shutdown_on_exit=False
         )
         self.meter = self.provider.get_meter("auburnswitch")
-        self.first_token = self.meter.create_histogram(FIRST_TOKEN, unit="s")
+        self.time_to_first_token = self.meter.create_histogram(
+            FIRST_TOKEN_METRIC, unit="s"
+        )
         self.requests = self._counter("requests")
         self.retries = self._counter("retries")
         self.late_frames = self._counter("late_frames")
@@ -78,13 +80,13 @@
     def _counter(self, name: str):  # noqa: ANN202
         return self.meter.create_counter(f"auburnswitch_{name}")
 
-    def observe_gauge(self, name: str, read: Callable[[], float]) -> None:
+    def register_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Registers a gauge that is read when metrics are collected."""
         self.meter.create_observable_gauge(
             f"auburnswitch_{name}", callbacks=[lambda _: [Observation(read())]]
         )
 
-    def observe_counter(self, name: str, callback: CallbackT) -> None:
+    def register_counter(self, name: str, callback: CallbackT) -> None:
         """Registers a counter that is read when metrics are collected."""
         self.meter.create_observable_counter(
             f"auburnswitch_{name}", callbacks=[callback]
--- a/src/auburnswitch/observe/bounded_logs.py
+++ b/src/auburnswitch/observe/nonblocking_logs.py
@@ -13,11 +13,11 @@
 
 from auburnswitch.observe.logs import LOGGER
 
-MAX_UNWRITTEN_BYTES: Final = 65536
-WINDOW_S: Final = 1.0
+MAX_BUFFERED_BYTES: Final = 65536
+RATE_WINDOW_S: Final = 1.0
 
 
-class BoundedHandler(logging.Handler):
+class NonBlockingLogHandler(logging.Handler):
     """Writes lines to a descriptor that does not block.
 
     Lines over the rate, and lines that the reader does not take, are dropped
@@ -26,14 +26,14 @@
     Attributes:
         descriptor: File descriptor that is written to.
         max_lines_per_s: Lines written in one second at the most.
-        dropped: Lines dropped since the last line that was written.
+        dropped_lines: Lines dropped since the last line that was written.
     """
 
     def __init__(self, *, descriptor: int, max_lines_per_s: int) -> None:
         super().__init__()
         self.descriptor = descriptor
         self.max_lines_per_s = max_lines_per_s
-        self.dropped = 0
+        self.dropped_lines = 0
         self._unwritten = b""
         self._window_at = 0.0
         self._lines = 0
@@ -41,18 +41,18 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Writes a record or drops it."""
         now = time.monotonic()
-        if now - self._window_at >= WINDOW_S:
+        if now - self._window_at >= RATE_WINDOW_S:
             self._window_at = now
             self._lines = 0
         self._lines += 1
-        full = len(self._unwritten) > MAX_UNWRITTEN_BYTES
+        full = len(self._unwritten) > MAX_BUFFERED_BYTES
         if full or self._lines > self.max_lines_per_s:
-            self.dropped += 1
+            self.dropped_lines += 1
             self._write(b"")
             return
-        if self.dropped:
-            record.dropped_lines = self.dropped
-            self.dropped = 0
+        if self.dropped_lines:
+            record.dropped_lines = self.dropped_lines
+            self.dropped_lines = 0
         self._write(self.format(record).encode() + b"\n")
 
     def _write(self, line: bytes) -> None:
@@ -62,11 +62,13 @@
             self._unwritten = self._unwritten[written:]
 
 
-def configure_bounded_logs(level: str, max_lines_per_s: int) -> BoundedHandler:
+def configure_nonblocking_logs(
+    level: str, max_lines_per_s: int
+) -> NonBlockingLogHandler:
     """Writes events of a level and above to standard output."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
-    handler = BoundedHandler(
+    handler = NonBlockingLogHandler(
         descriptor=descriptor, max_lines_per_s=max_lines_per_s
     )
     handler.setFormatter(
@@ -81,4 +83,4 @@
     return handler
 
 
-__all__ = ["BoundedHandler", "configure_bounded_logs"]
+__all__ = ["NonBlockingLogHandler", "configure_nonblocking_logs"]
--- a/src/auburnswitch/observe/statistics.py
+++ b/src/auburnswitch/observe/statistics.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from typing import Final
 
-LATENCY_BOUNDS_S: Final = (
+LATENCY_BUCKET_BOUNDS_S: Final = (
     0.05,
     0.1,
     0.15,
@@ -26,8 +26,8 @@
     10.0,
     30.0,
 )
-SHORT_TOKENS: Final = 24_000
-MEDIUM_TOKENS: Final = 110_000
+SHORT_MAX_TOKENS: Final = 24_000
+MEDIUM_MAX_TOKENS: Final = 110_000
 
 
 class Histogram:
@@ -41,17 +41,17 @@
     __slots__ = ("counts", "total")
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(LATENCY_BOUNDS_S) + 1)
+        self.counts = [0] * (len(LATENCY_BUCKET_BOUNDS_S) + 1)
         self.total = 0.0
 
     def observe(self, value: float) -> None:
         """Adds a value."""
-        self.counts[bisect_left(LATENCY_BOUNDS_S, value)] += 1
+        self.counts[bisect_left(LATENCY_BUCKET_BOUNDS_S, value)] += 1
         self.total += value
 
-    def cumulative(self) -> list[tuple[str, int]]:
+    def cumulative_counts(self) -> list[tuple[str, int]]:
         """Returns each upper bound with the number of values up to it."""
-        bounds = [*map(str, LATENCY_BOUNDS_S), "+Inf"]
+        bounds = [*map(str, LATENCY_BUCKET_BOUNDS_S), "+Inf"]
         passed, rows = 0, []
         for bound, count in zip(bounds, self.counts, strict=True):
             passed += count
@@ -65,37 +65,37 @@
     Attributes:
         requests: Requests by length class and outcome.
         retries: Further attempts by cause.
-        first_event: Time to an answer's first event by length class.
+        time_to_first_event: Time to an answer's first event by length class.
         duration: Time to an answer's end by length class.
     """
 
-    __slots__ = ("duration", "first_event", "requests", "retries")
+    __slots__ = ("duration", "requests", "retries", "time_to_first_event")
 
     def __init__(self) -> None:
         self.requests: Counter[tuple[str, str]] = Counter()
         self.retries: Counter[str] = Counter()
         classes = ("plain", "short", "medium", "long")
-        self.first_event = {name: Histogram() for name in classes}
+        self.time_to_first_event = {name: Histogram() for name in classes}
         self.duration = {name: Histogram() for name in classes}
 
-    def note_request(self, tokens: int, outcome: str, took_s: float) -> None:
+    def record_request(self, tokens: int, outcome: str, took_s: float) -> None:
         """Counts a request that has ended."""
-        name = length_class(tokens)
+        name = classify_length(tokens)
         self.requests[name, outcome] += 1
         self.duration[name].observe(took_s)
 
-    def note_first_event(self, tokens: int, after_s: float) -> None:
+    def record_first_event(self, tokens: int, after_s: float) -> None:
         """Counts the first event of an answer."""
-        self.first_event[length_class(tokens)].observe(after_s)
+        self.time_to_first_event[classify_length(tokens)].observe(after_s)
 
 
-def length_class(prompt_tokens: int) -> str:
+def classify_length(prompt_tokens: int) -> str:
     """Returns the class of a prompt's length, ``plain`` without a prompt."""
     if not prompt_tokens:
         return "plain"
-    if prompt_tokens <= SHORT_TOKENS:
+    if prompt_tokens <= SHORT_MAX_TOKENS:
         return "short"
-    return "medium" if prompt_tokens <= MEDIUM_TOKENS else "long"
+    return "medium" if prompt_tokens <= MEDIUM_MAX_TOKENS else "long"
 
 
-__all__ = ["EntryStatistics", "Histogram", "length_class"]
+__all__ = ["EntryStatistics", "Histogram", "classify_length"]
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -293,7 +293,9 @@
         held.work.prefill_tokens = 0
         length = request.length_class.name.lower()
         first_token_s = monotonic_s() - started_at
-        self.metrics.first_token.record(first_token_s, {"length": length})
+        self.metrics.time_to_first_token.record(
+            first_token_s, {"length": length}
+        )
         progress = self.placer.reservations.note_prefilled(held)
         self.cleanups.start(progress, "note progress")
 
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -117,7 +117,7 @@
         self.selector.note_prefilled(self.placement)
         after_s = monotonic_s() - self.job.arrived_at
         tokens = self.job.request.prompt_tokens
-        self.statistics.note_first_event(tokens, after_s)
+        self.statistics.record_first_event(tokens, after_s)
         log_event(
             EventId.FIRST_EVENT,
             request=self.job.request.id,
--- a/src/auburnswitch/settings/load.py
+++ b/src/auburnswitch/settings/loader.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Problem:
+class SettingsProblem:
     """One fault of a settings file.
 
     Attributes:
@@ -42,7 +42,7 @@
         return f"{place}: {self.reason}" if place else self.reason
 
 
-def load_settings(path: Path) -> Result[Settings, list[Problem]]:
+def load_settings(path: Path) -> Result[Settings, list[SettingsProblem]]:
     """Reads a settings file and reports all of its faults together.
 
     Args:
@@ -54,22 +54,26 @@
     return _read_file(path).bind(parse_settings)
 
 
-def parse_settings(text: str) -> Result[Settings, list[Problem]]:
+def parse_settings(text: str) -> Result[Settings, list[SettingsProblem]]:
     """Reads settings from the text of an INI file."""
     return _parse(text, Settings(), _check_whole)
 
 
-def load_entry_settings(path: Path) -> Result[EntrySettings, list[Problem]]:
+def load_entry_settings(
+    path: Path,
+) -> Result[EntrySettings, list[SettingsProblem]]:
     """Reads an entry daemon's settings file, like ``load_settings``."""
     return _read_file(path).bind(parse_entry_settings)
 
 
-def parse_entry_settings(text: str) -> Result[EntrySettings, list[Problem]]:
+def parse_entry_settings(
+    text: str,
+) -> Result[EntrySettings, list[SettingsProblem]]:
     """Reads an entry daemon's settings from the text of an INI file."""
     return _parse(text, EntrySettings(), _check_entry)
 
 
-def _read_file(path: Path) -> Result[str, list[Problem]]:
+def _read_file(path: Path) -> Result[str, list[SettingsProblem]]:
     try:
         return Ok(path.read_text("utf-8"))
     except OSError as error:
@@ -80,14 +84,14 @@
 def _parse(
     text: str,
     settings: SettingsT,
-    check_whole: Callable[[SettingsT], list[Problem]],
-) -> Result[SettingsT, list[Problem]]:
+    check_whole: Callable[[SettingsT], list[SettingsProblem]],
+) -> Result[SettingsT, list[SettingsProblem]]:
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
     except configparser.Error as error:
         return Error([_problem("", "", str(error).replace("\n", " "))])
-    problems: list[Problem] = []
+    problems: list[SettingsProblem] = []
     known = {field.name for field in dataclasses.fields(settings)}
     for section in parser.sections():
         if section not in known:
@@ -101,13 +105,13 @@
     return Error(sorted(problems, key=str)) if problems else Ok(settings)
 
 
-def _problem(section: str, key: str, reason: str) -> Problem:
-    return Problem(section=section, key=key, reason=reason)
+def _problem(section: str, key: str, reason: str) -> SettingsProblem:
+    return SettingsProblem(section=section, key=key, reason=reason)
 
 
 def _read_section(
     name: str, section: Struct, values: dict[str, str]
-) -> list[Problem]:
+) -> list[SettingsProblem]:
     problems = []
     types = get_type_hints(type(section))
     descriptions: dict[str, Description] = section.descriptions
@@ -164,7 +168,7 @@
         raise ValueError("must name a file that can be read")
 
 
-def _check_whole(settings: Settings) -> list[Problem]:
+def _check_whole(settings: Settings) -> list[SettingsProblem]:
     problems = []
     seen: dict[tuple[str, int], str] = {}
     for name in ("callers", "operators", "peers"):
@@ -184,7 +188,7 @@
     return problems
 
 
-def _check_entry(settings: EntrySettings) -> list[Problem]:
+def _check_entry(settings: EntrySettings) -> list[SettingsProblem]:
     problems = []
     listen = settings.listen
     for section, key, address in (
@@ -210,7 +214,7 @@
 
 
 __all__ = [
-    "Problem",
+    "SettingsProblem",
     "load_entry_settings",
     "load_settings",
     "parse_entry_settings",
--- a/src/auburnswitch/soak/faults.py
+++ b/src/auburnswitch/soak/fault_injector.py
@@ -6,7 +6,7 @@
 import signal
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.soak.proxy import Link, Proxy
+from auburnswitch.soak.fault_proxy import FaultProxy, ProxyMode
 from auburnswitch.standins import operators
 from auburnswitch.standins.runner import Fault
 
@@ -16,24 +16,29 @@
 
     from auburnswitch.soak.fleet import DaemonProcess, SoakFleet
 
-PAUSE_S: Final = (0.2, 1.0)
-LASTS_S: Final = (0.3, 2.5)
-DISTURBED: Final = (Link.DELAY, Link.RESET, Link.SILENT, Link.NO_ANSWERS)
+FAULT_INTERVAL_RANGE_S: Final = (0.2, 1.0)
+FAULT_DURATION_RANGE_S: Final = (0.3, 2.5)
+FAULT_MODES: Final = (
+    ProxyMode.DELAY,
+    ProxyMode.RESET,
+    ProxyMode.STALL,
+    ProxyMode.STALL_RESPONSES,
+)
 
 
-class Faults:
+class FaultInjector:
     """Injects faults into a fleet.
 
     Attributes:
-        log: What was done, in order.
-        last_at: Loop time at which the last fault ended, in seconds.
+        injected_faults: What was done, in order.
+        last_ended_at: Loop time at which the last fault ended, in seconds.
     """
 
-    def __init__(self, *, fleet: SoakFleet, chance: random.Random) -> None:
+    def __init__(self, *, fleet: SoakFleet, rng: random.Random) -> None:
         self.fleet = fleet
-        self.chance = chance
-        self.log: list[str] = []
-        self.last_at = 0.0
+        self.rng = rng
+        self.injected_faults: list[str] = []
+        self.last_ended_at = 0.0
         self._busy: set[str] = set()
 
     async def run(self, seconds: float) -> None:
@@ -56,77 +61,79 @@
         ]
         async with asyncio.TaskGroup() as tasks:
             while loop.time() < ends_at:
-                await asyncio.sleep(self.chance.uniform(*PAUSE_S))
-                tasks.create_task(self._one(self.chance.choice(kinds)))
-        self.last_at = loop.time()
+                await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL_RANGE_S))
+                tasks.create_task(self._one(self.rng.choice(kinds)))
+        self.last_ended_at = loop.time()
 
     async def _one(self, fault: Callable[[], Awaitable[None]]) -> None:
-        self.log.append(fault.__name__.lstrip("_"))
+        self.injected_faults.append(fault.__name__.lstrip("_"))
         await fault()
 
     async def _last(self) -> None:
-        await asyncio.sleep(self.chance.uniform(*LASTS_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_RANGE_S))
 
     def _take(self) -> DaemonProcess | None:
         """Returns a daemon that no other signal fault is at work on."""
         free = [d for d in self.fleet.daemons if d.name not in self._busy]
         if not free:
             return None
-        daemon = self.chance.choice(free)
+        daemon = self.rng.choice(free)
         self._busy.add(daemon.name)
         return daemon
 
     async def _restart(self) -> None:
         if daemon := self._take():
-            daemon.send(signal.SIGKILL)
-            await daemon.end()
+            daemon.send_signal(signal.SIGKILL)
+            await daemon.wait_for_exit()
             await self._last()
             await daemon.start()
             self._busy.discard(daemon.name)
 
     async def _pause(self) -> None:
         if daemon := self._take():
-            daemon.send(signal.SIGSTOP)
+            daemon.send_signal(signal.SIGSTOP)
             await self._last()
-            daemon.send(signal.SIGCONT)
+            daemon.send_signal(signal.SIGCONT)
             self._busy.discard(daemon.name)
 
     async def _terminate(self) -> None:
         if daemon := self._take():
-            daemon.send(signal.SIGTERM)
-            await daemon.end()
+            daemon.send_signal(signal.SIGTERM)
+            await daemon.wait_for_exit()
             await daemon.start()
             self._busy.discard(daemon.name)
 
     async def _reload(self) -> None:
         if daemon := self._take():
-            daemon.send(signal.SIGHUP)
+            daemon.send_signal(signal.SIGHUP)
             self._busy.discard(daemon.name)
 
-    async def _disturb(self, proxy: Proxy) -> None:
-        proxy.disturb(self.chance.choice(DISTURBED))
+    async def _disturb(self, proxy: FaultProxy) -> None:
+        proxy.set_mode(self.rng.choice(FAULT_MODES))
         await self._last()
-        proxy.disturb(Link.PASS)
+        proxy.set_mode(ProxyMode.PASS)
 
     async def _cut_store(self) -> None:
-        await self._disturb(self.chance.choice(self.fleet.daemons).store)
+        await self._disturb(self.rng.choice(self.fleet.daemons).store)
 
     async def _cut_endpoint(self) -> None:
-        await self._disturb(self.chance.choice([*self.fleet.links.values()]))
+        await self._disturb(
+            self.rng.choice([*self.fleet.endpoint_proxies.values()])
+        )
 
     async def _fail_requests(self) -> None:
-        runner = self.chance.choice([*self.fleet.runners.values()])
+        runner = self.rng.choice([*self.fleet.runners.values()])
         kinds = [fault for fault in Fault if fault is not Fault.SILENT]
-        runner.faults.extend(self.chance.choices(kinds, k=4))
+        runner.faults.extend(self.rng.choices(kinds, k=4))
 
     async def _drain_endpoint(self) -> None:
-        name = self.chance.choice([*self.fleet.runners])
-        self.fleet.list_endpoint(name, "draining")
+        name = self.rng.choice([*self.fleet.runners])
+        self.fleet.put_endpoint(name, "draining")
         await self._last()
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             operators.remove_endpoint(self.fleet.store, name)
             await self._last()
-        self.fleet.list_endpoint(name)
+        self.fleet.put_endpoint(name)
 
     async def _stop_store(self) -> None:
         self.fleet.store.down = True
@@ -137,16 +144,16 @@
         self.fleet.store.forget_history()
 
     async def _change_keys(self) -> None:
-        self.fleet.keys = ["key-1"]
-        self.fleet.configure()
+        self.fleet.caller_keys = ["key-1"]
+        self.fleet.write_config()
         await self._last()
-        self.fleet.keys = ["key-1", "key-2"]
-        self.fleet.configure()
+        self.fleet.caller_keys = ["key-1", "key-2"]
+        self.fleet.write_config()
 
     async def _close_zone(self) -> None:
         operators.close_zone(self.fleet.store, "zone-1")
-        await asyncio.sleep(LASTS_S[0])
+        await asyncio.sleep(FAULT_DURATION_RANGE_S[0])
         operators.open_zone(self.fleet.store, "zone-1")
 
 
-__all__ = ["Faults"]
+__all__ = ["FaultInjector"]
--- a/src/auburnswitch/soak/proxy.py
+++ b/src/auburnswitch/soak/fault_proxy.py
@@ -11,37 +11,37 @@
     from collections.abc import AsyncIterator
 
 CHUNK_BYTES: Final = 65536
-DELAY_S: Final = 0.2
-HELD_POLL_S: Final = 0.05
+CHUNK_DELAY_S: Final = 0.2
+STALL_POLL_INTERVAL_S: Final = 0.05
 
 
-class Link(enum.Enum):
+class ProxyMode(enum.Enum):
     """What happens to the bytes of a proxy."""
 
     PASS = "pass"
     DELAY = "delay"
     RESET = "reset"
-    SILENT = "silent"
-    NO_ANSWERS = "no answers"
+    STALL = "silent"
+    STALL_RESPONSES = "no answers"
 
 
-class Proxy:
+class FaultProxy:
     """Carries connections to one address.
 
     Attributes:
         target: Host and port that are connected to.
         port: TCP port that is listened on.
-        link: What happens to the bytes now.
+        mode: What happens to the bytes now.
     """
 
     def __init__(self, *, target: tuple[str, int]) -> None:
         self.target = target
         self.port = 0
-        self.link = Link.PASS
+        self.mode = ProxyMode.PASS
         self._writers: set[asyncio.StreamWriter] = set()
 
     @contextlib.asynccontextmanager
-    async def open(self) -> AsyncIterator[Proxy]:
+    async def open(self) -> AsyncIterator[FaultProxy]:
         """Listens until the context ends."""
         server = await asyncio.start_server(self._carry, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
@@ -51,10 +51,10 @@
             server.close()
             self._reset_all()
 
-    def disturb(self, link: Link) -> None:
+    def set_mode(self, mode: ProxyMode) -> None:
         """Changes what happens to the bytes, also of open connections."""
-        self.link = link
-        if link is Link.RESET:
+        self.mode = mode
+        if mode is ProxyMode.RESET:
             self._reset_all()
 
     def _reset_all(self) -> None:
@@ -64,7 +64,7 @@
     async def _carry(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.link is Link.RESET:
+        if self.mode is ProxyMode.RESET:
             writer.transport.abort()
             return
         try:
@@ -92,12 +92,12 @@
         answer: bool,
     ) -> None:
         while data := await reader.read(CHUNK_BYTES):
-            while self.link is Link.SILENT or (
-                answer and self.link is Link.NO_ANSWERS
+            while self.mode is ProxyMode.STALL or (
+                answer and self.mode is ProxyMode.STALL_RESPONSES
             ):
-                await asyncio.sleep(HELD_POLL_S)
-            if self.link is Link.DELAY:
-                await asyncio.sleep(DELAY_S)
+                await asyncio.sleep(STALL_POLL_INTERVAL_S)
+            if self.mode is ProxyMode.DELAY:
+                await asyncio.sleep(CHUNK_DELAY_S)
             writer.write(data)
             await writer.drain()
         if not answer:
@@ -112,4 +112,4 @@
     await writer.wait_closed()
 
 
-__all__ = ["Link", "Proxy"]
+__all__ = ["ProxyMode", "FaultProxy"]
--- a/src/auburnswitch/soak/fleet.py
+++ b/src/auburnswitch/soak/fleet.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.http_server import open_http_server
-from auburnswitch.soak.proxy import Proxy
+from auburnswitch.soak.fault_proxy import FaultProxy
 from auburnswitch.standins import operators
 from auburnswitch.standins.installation_store import InstallationStore
 from auburnswitch.standins.ports import free_port
@@ -21,7 +21,7 @@
     from collections.abc import AsyncIterator
 
 STREAM_EVENTS: Final = 12
-EXIT_WAIT_S: Final = 12.0
+EXIT_TIMEOUT_S: Final = 12.0
 
 
 class DaemonProcess:
@@ -29,18 +29,18 @@
 
     Attributes:
         name: Its instance.
-        callers: Address for callers.
-        readiness: Address of the readiness check.
+        callers_address: Address for callers.
+        readiness_address: Address of the readiness check.
         store: The proxy between it and the store.
         process: The running process, None before the first start.
     """
 
-    def __init__(self, *, name: str, folder: Path, store: Proxy) -> None:
+    def __init__(self, *, name: str, folder: Path, store: FaultProxy) -> None:
         self.name = name
         self.folder = folder
         self.store = store
-        self.callers = f"127.0.0.1:{free_port()}"
-        self.readiness = f"127.0.0.1:{free_port()}"
+        self.callers_address = f"127.0.0.1:{free_port()}"
+        self.readiness_address = f"127.0.0.1:{free_port()}"
         self.peer_port = free_port()
         self.process: asyncio.subprocess.Process | None = None
 
@@ -49,8 +49,8 @@
         settings = self.folder / f"{self.name}.ini"
         settings.write_text(
             f"[instance]\nname = {self.name}\nzone = zone-1\n"
-            f"[listen]\ncallers = {self.callers}\n"
-            f"readiness = {self.readiness}\npeer_host = 127.0.0.1\n"
+            f"[listen]\ncallers = {self.callers_address}\n"
+            f"readiness = {self.readiness_address}\npeer_host = 127.0.0.1\n"
             f"peer_port = {self.peer_port}\n"
             f"[store]\naddress = 127.0.0.1:{self.store.port}\n"
             "[bounds]\nstop_grace_s = 6\n"
@@ -67,7 +67,7 @@
                 env={**os.environ, "PYTHONPATH": str(source)},
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal to the process that was started here."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
@@ -85,15 +85,15 @@
             f"{self.name} ended with {self.process.returncode}: {log[-500:]}"
         )
 
-    async def end(self) -> int | None:
+    async def wait_for_exit(self) -> int | None:
         """Waits for the process's end, killing it if it takes too long."""
         if self.process is None:
             return None
         try:
-            async with asyncio.timeout(EXIT_WAIT_S):
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
                 return await self.process.wait()
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             return await self.process.wait()
 
 
@@ -103,36 +103,38 @@
     Attributes:
         store: The platform's store.
         runners: Endpoints by id.
-        links: The proxy before each endpoint.
+        endpoint_proxies: The proxy before each endpoint.
         daemons: The entry daemons.
-        version: Version of the newest configuration.
-        keys: Caller keys that it has.
+        config_version: Version of the newest configuration.
+        caller_keys: Caller keys that it has.
     """
 
     def __init__(self) -> None:
         self.store = InstallationStore()
         self.runners: dict[str, Runner] = {}
-        self.links: dict[str, Proxy] = {}
+        self.endpoint_proxies: dict[str, FaultProxy] = {}
         self.daemons: list[DaemonProcess] = []
-        self.version = 0
-        self.keys = ["key-1", "key-2"]
+        self.config_version = 0
+        self.caller_keys = ["key-1", "key-2"]
 
-    def configure(self) -> None:
+    def write_config(self) -> None:
         """Writes a new version of the configuration."""
-        self.version += 1
-        config = operators.make_config(self.version, list(self.keys))
+        self.config_version += 1
+        config = operators.make_config(
+            self.config_version, list(self.caller_keys)
+        )
         operators.put_config(self.store, config)
 
-    def list_endpoint(self, name: str, state: str = "ready") -> None:
+    def put_endpoint(self, name: str, state: str = "ready") -> None:
         """Writes an endpoint's entry."""
-        address = f"127.0.0.1:{self.links[name].port}"
+        address = f"127.0.0.1:{self.endpoint_proxies[name].port}"
         service = name.split("-")[0]
         operators.put_endpoint(self.store, name, service, address, State=state)
 
 
 @contextlib.asynccontextmanager
 async def open_fleet(
-    folder: Path, daemons: int = 3
+    folder: Path, daemon_count: int = 3
 ) -> AsyncIterator[SoakFleet]:
     """Starts the stand-ins and the daemons; ends all at the end."""
     fleet = SoakFleet()
@@ -146,12 +148,14 @@
             server = await stack.enter_async_context(
                 open_http_server(runner, host="127.0.0.1", port=0)
             )
-            link = Proxy(target=("127.0.0.1", server.port))
-            fleet.links[name] = await stack.enter_async_context(link.open())
-            fleet.list_endpoint(name)
-        fleet.configure()
-        for number in range(daemons):
-            proxy = Proxy(target=("127.0.0.1", store.port))
+            link = FaultProxy(target=("127.0.0.1", server.port))
+            fleet.endpoint_proxies[name] = await stack.enter_async_context(
+                link.open()
+            )
+            fleet.put_endpoint(name)
+        fleet.write_config()
+        for number in range(daemon_count):
+            proxy = FaultProxy(target=("127.0.0.1", store.port))
             await stack.enter_async_context(proxy.open())
             daemon = DaemonProcess(
                 name=f"entry-{number}", folder=folder, store=proxy
@@ -162,8 +166,8 @@
             yield fleet
         finally:
             for daemon in fleet.daemons:
-                daemon.send(signal.SIGKILL)
-                await daemon.end()
+                daemon.send_signal(signal.SIGKILL)
+                await daemon.wait_for_exit()
 
 
 __all__ = ["STREAM_EVENTS", "DaemonProcess", "SoakFleet", "open_fleet"]
--- a/src/auburnswitch/soak/run.py
+++ b/src/auburnswitch/soak/run.py
@@ -14,26 +14,26 @@
 import aiohttp
 
 from auburnswitch.platform.names import READINESS_PATH
-from auburnswitch.soak.callers import (
-    NOT_RUN,
-    OK,
-    Callers,
-    Outcome,
-    wrong_answer,
-)
-from auburnswitch.soak.faults import Faults
+from auburnswitch.soak.fault_injector import FaultInjector
 from auburnswitch.soak.fleet import SoakFleet, open_fleet
+from auburnswitch.soak.workload_generator import (
+    HTTP_OK,
+    NOT_EXECUTED_STATUSES,
+    RequestRecord,
+    WorkloadGenerator,
+    find_response_problem,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-CALLERS: Final = 4
-RECOVERY_S: Final = 6.0  # until every request is served again
-LAST_REQUESTS: Final = 30
+CONCURRENT_CALLERS: Final = 4
+RECOVERY_WAIT_S: Final = 6.0  # until every request is served again
+RECOVERY_REQUESTS: Final = 30
 READY_TIMEOUT_S: Final = 10.0
 
 
-async def soak(seed: int, seconds: float, folder: Path) -> list[str]:
+async def run_soak(seed: int, seconds: float, folder: Path) -> list[str]:
     """Runs one soak.
 
     Args:
@@ -44,23 +44,26 @@
     Returns:
         What was wrong, nothing if every promise held.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     async with open_fleet(folder) as fleet:
         await _until_ready(fleet)
-        callers = Callers(fleet=fleet, chance=chance)
-        running = [asyncio.create_task(callers.run()) for _ in range(CALLERS)]
-        faults = Faults(fleet=fleet, chance=chance)
+        callers = WorkloadGenerator(fleet=fleet, rng=rng)
+        running = [
+            asyncio.create_task(callers.run())
+            for _ in range(CONCURRENT_CALLERS)
+        ]
+        faults = FaultInjector(fleet=fleet, rng=rng)
         await faults.run(seconds)
-        await asyncio.sleep(RECOVERY_S)
+        await asyncio.sleep(RECOVERY_WAIT_S)
         for task in running:
             task.cancel()
         await asyncio.gather(*running, return_exceptions=True)
         problems = await _check_recovery(callers, fleet)
-        problems += check(callers.outcomes, fleet)
-        kinds = Counter(faults.log)
-        served = sum(outcome.status == OK for outcome in callers.outcomes)
+        problems += check_history(callers.records, fleet)
+        kinds = Counter(faults.injected_faults)
+        served = sum(outcome.status == HTTP_OK for outcome in callers.records)
         print(
-            f"seed {seed}: {len(callers.outcomes)} requests, {served} served,"
+            f"seed {seed}: {len(callers.records)} requests, {served} served,"
             f" {sum(kinds.values())} faults, {len(problems)} problems"
         )
     return problems
@@ -72,35 +75,42 @@
         asyncio.timeout(READY_TIMEOUT_S),
     ):
         for daemon in fleet.daemons:
-            url = f"http://{daemon.readiness}{READINESS_PATH}"
+            url = f"http://{daemon.readiness_address}{READINESS_PATH}"
             while True:
                 daemon.check_running()
                 try:
                     async with session.get(url) as response:
-                        if response.status == OK:
+                        if response.status == HTTP_OK:
                             break
                 except aiohttp.ClientError:
                     await asyncio.sleep(0.05)  # it has not opened its port
                 await asyncio.sleep(0.05)
 
 
-async def _check_recovery(callers: Callers, fleet: SoakFleet) -> list[str]:
+async def _check_recovery(
+    callers: WorkloadGenerator, fleet: SoakFleet
+) -> list[str]:
     """Sends requests after the last fault; each must be served."""
     for runner in fleet.runners.values():
         runner.faults.clear()
     async with aiohttp.ClientSession() as session:
-        last = [await callers.call(session) for _ in range(LAST_REQUESTS)]
+        last = [
+            await callers.send_request(session)
+            for _ in range(RECOVERY_REQUESTS)
+        ]
     await asyncio.sleep(0.5)  # reservations are ended after the answers
     for runner in fleet.runners.values():
         runner.expire()
     return [
         f"after recovery: {outcome.path} got {outcome.status}"
         for outcome in last
-        if outcome.status != OK
+        if outcome.status != HTTP_OK
     ]
 
 
-def check(outcomes: Iterable[Outcome], fleet: SoakFleet) -> list[str]:
+def check_history(
+    outcomes: Iterable[RequestRecord], fleet: SoakFleet
+) -> list[str]:
     """Compares what callers saw with what endpoints did."""
     runs: Counter[str] = Counter()
     problems = []
@@ -116,9 +126,9 @@
         once = outcome.path.startswith("/book")
         if once and count > 1:
             problems.append(f"{outcome.id}: ran {count} times")
-        if once and outcome.status in NOT_RUN and count:
+        if once and outcome.status in NOT_EXECUTED_STATUSES and count:
             problems.append(f"{outcome.id}: said not to have run, but has")
-        if wrong := wrong_answer(outcome):
+        if wrong := find_response_problem(outcome):
             problems.append(f"{outcome.id}: {wrong}")
     problems += [f"{name}: nobody sent it" for name in runs.keys() - known]
     return problems
@@ -130,7 +140,7 @@
     failed = 0
     for seed in range(first, first + count):
         folder = tempfile.mkdtemp(prefix=f"soak-{seed}-")
-        problems = asyncio.run(soak(seed, seconds, Path(folder)))
+        problems = asyncio.run(run_soak(seed, seconds, Path(folder)))
         for problem in problems:
             print(f"  {problem}")
         if problems:
@@ -146,4 +156,4 @@
     sys.exit(main(sys.argv[1:]))
 
 
-__all__ = ["check", "main", "soak"]
+__all__ = ["check_history", "main", "run_soak"]
--- a/src/auburnswitch/soak/callers.py
+++ b/src/auburnswitch/soak/workload_generator.py
@@ -18,18 +18,18 @@
 
     from auburnswitch.soak.fleet import SoakFleet
 
-PATHS: Final = ("/chat/1", "/read/1", "/book/1")
-INTERVAL_S: Final = (0.02, 0.15)
-ANSWER_TIMEOUT_S: Final = 6.0
+REQUEST_PATHS: Final = ("/chat/1", "/read/1", "/book/1")
+REQUEST_INTERVAL_RANGE_S: Final = (0.02, 0.15)
+RESPONSE_TIMEOUT_S: Final = 6.0
 LONG_PROMPT_SHARE: Final = 0.1
-LONG_PROMPT: Final = "80000,50"  # over one engine's memory
-SHORT_PROMPT: Final = "900,50"
-OK: Final = 200
-NOT_RUN: Final = (408, 421, 429, 503)
+LONG_TOKEN_COUNTS: Final = "80000,50"  # over one engine's memory
+SHORT_TOKEN_COUNTS: Final = "900,50"
+HTTP_OK: Final = 200
+NOT_EXECUTED_STATUSES: Final = (408, 421, 429, 503)
 
 
 @dataclass(slots=True, kw_only=True)
-class Outcome:
+class RequestRecord:
     """What a caller saw of one request.
 
     Attributes:
@@ -51,46 +51,48 @@
     signed: bool = False
 
 
-class Callers:
+class WorkloadGenerator:
     """Sends requests to random daemons over kept connections.
 
     Attributes:
-        outcomes: All requests so far.
+        records: All requests so far.
     """
 
-    def __init__(self, *, fleet: SoakFleet, chance: random.Random) -> None:
+    def __init__(self, *, fleet: SoakFleet, rng: random.Random) -> None:
         self.fleet = fleet
-        self.chance = chance
-        self.outcomes: list[Outcome] = []
+        self.rng = rng
+        self.records: list[RequestRecord] = []
         self._numbers = itertools.count(1)
 
     async def run(self) -> None:
         """Sends requests until it is cancelled."""
         async with aiohttp.ClientSession() as session:
             while True:
-                await asyncio.sleep(self.chance.uniform(*INTERVAL_S))
-                await self.call(session)
+                await asyncio.sleep(self.rng.uniform(*REQUEST_INTERVAL_RANGE_S))
+                await self.send_request(session)
 
-    async def call(self, session: aiohttp.ClientSession) -> Outcome:
+    async def send_request(
+        self, session: aiohttp.ClientSession
+    ) -> RequestRecord:
         """Sends one request and notes what comes of it."""
-        outcome = Outcome(
+        outcome = RequestRecord(
             id=f"request-{next(self._numbers)}",
-            path=self.chance.choice(PATHS),
-            key=self.chance.choice(("key-1", "key-2")),
+            path=self.rng.choice(REQUEST_PATHS),
+            key=self.rng.choice(("key-1", "key-2")),
             sent_at=asyncio.get_running_loop().time(),
         )
-        self.outcomes.append(outcome)
-        daemon = self.chance.choice(self.fleet.daemons)
+        self.records.append(outcome)
+        daemon = self.rng.choice(self.fleet.daemons)
         tokens = ""
         if outcome.path.startswith("/chat"):
-            long = self.chance.random() < LONG_PROMPT_SHARE
-            tokens = LONG_PROMPT if long else SHORT_PROMPT
+            long = self.rng.random() < LONG_PROMPT_SHARE
+            tokens = LONG_TOKEN_COUNTS if long else SHORT_TOKEN_COUNTS
         headers = request_headers(outcome.id, outcome.key, tokens=tokens)
-        url = f"http://{daemon.callers}{outcome.path}"
+        url = f"http://{daemon.callers_address}{outcome.path}"
         method = "GET" if outcome.path.startswith("/read") else "POST"
         try:
             async with (
-                asyncio.timeout(ANSWER_TIMEOUT_S),
+                asyncio.timeout(RESPONSE_TIMEOUT_S),
                 session.request(
                     method, url, headers=headers, middlewares=(send_once,)
                 ) as response,
@@ -103,9 +105,9 @@
         return outcome
 
 
-def wrong_answer(outcome: Outcome) -> str:
+def find_response_problem(outcome: RequestRecord) -> str:
     """Returns what is wrong with a whole answer of success, or nothing."""
-    if outcome.status != OK or not outcome.body:
+    if outcome.status != HTTP_OK or not outcome.body:
         return ""
     if not outcome.signed:
         return "success without a signature"
@@ -118,4 +120,10 @@
     return "" if outcome.body == expected else f"body {outcome.body!r}"
 
 
-__all__ = ["NOT_RUN", "OK", "Callers", "Outcome", "wrong_answer"]
+__all__ = [
+    "NOT_EXECUTED_STATUSES",
+    "HTTP_OK",
+    "WorkloadGenerator",
+    "RequestRecord",
+    "find_response_problem",
+]
--- a/tests/entry/test_metrics.py
+++ b/tests/entry/test_metrics.py
@@ -7,7 +7,7 @@
 from auburnswitch.entry.checks import MetricsApp
 from auburnswitch.experiments.installation import open_installation
 from auburnswitch.http_server import open_http_server
-from auburnswitch.observe.statistics import Histogram, length_class
+from auburnswitch.observe.statistics import Histogram, classify_length
 
 
 class MetricsTest(unittest.IsolatedAsyncioTestCase):
@@ -38,14 +38,14 @@
         histogram = Histogram()
         for value in (0.01, 0.05, 0.2, 99.0):
             histogram.observe(value)
-        rows = dict(histogram.cumulative())
+        rows = dict(histogram.cumulative_counts())
         self.assertEqual(rows["0.05"], 2)
         self.assertEqual(rows["0.2"], 3)
         self.assertEqual(rows["+Inf"], 4)
 
     def test_length_classes(self):
         tokens = (0, 900, 45_000, 154_000)
-        names = [length_class(count) for count in tokens]
+        names = [classify_length(count) for count in tokens]
         self.assertEqual(names, ["plain", "short", "medium", "long"])
 
 
--- a/tests/observe/test_invariants.py
+++ b/tests/observe/test_invariants.py
@@ -23,7 +23,7 @@
         invariants = Invariants()
         metrics = Metrics()
         self.addCleanup(metrics.close)
-        metrics.observe_counter("invariant_violations", invariants.observe)
+        metrics.register_counter("invariant_violations", invariants.observe)
         invariants.check(False, Invariant.NOT_RUN)
         lines = metrics.export().decode().splitlines()
         name = "auburnswitch_invariant_violations_total"
--- a/tests/observe/test_bounded_logs.py
+++ b/tests/observe/test_nonblocking_logs.py
@@ -10,18 +10,20 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-from auburnswitch.observe.bounded_logs import BoundedHandler
+from auburnswitch.observe.nonblocking_logs import NonBlockingLogHandler
 
 
-class BoundedLogTest(unittest.TestCase):
+class NonBlockingLogTest(unittest.TestCase):
     def setUp(self):
         self.reader, self.writer = os.pipe()
         os.set_blocking(self.writer, False)
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, self.writer)
 
-    def logger(self, lines_per_s: int) -> tuple[logging.Logger, BoundedHandler]:
-        handler = BoundedHandler(
+    def logger(
+        self, lines_per_s: int
+    ) -> tuple[logging.Logger, NonBlockingLogHandler]:
+        handler = NonBlockingLogHandler(
             descriptor=self.writer, max_lines_per_s=lines_per_s
         )
         handler.setFormatter(JsonFormatter("%(message)s"))
@@ -35,13 +37,13 @@
         for _ in range(5_000):
             logger.info("x" * 200)
         self.assertLess(time.monotonic() - started, 2.0)
-        self.assertGreater(handler.dropped, 0)
+        self.assertGreater(handler.dropped_lines, 0)
 
     def test_what_was_dropped_is_said(self):
         logger, handler = self.logger(3)
         for number in range(10):
             logger.info("line %d", number)
-        self.assertEqual(handler.dropped, 7)
+        self.assertEqual(handler.dropped_lines, 7)
         handler._window_at = 0.0
         logger.info("later")
         lines = os.read(self.reader, 65536).decode().splitlines()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,9 +7,12 @@
 import unittest
 from pathlib import Path
 
-from auburnswitch.soak.callers import Outcome, wrong_answer
 from auburnswitch.soak.fleet import STREAM_EVENTS, SoakFleet
-from auburnswitch.soak.run import check, soak
+from auburnswitch.soak.run import check_history, run_soak
+from auburnswitch.soak.workload_generator import (
+    RequestRecord,
+    find_response_problem,
+)
 from auburnswitch.standins.runner import Arrival, Runner
 
 SEED = 1
@@ -21,8 +24,8 @@
 }
 
 
-def outcome(path: str, status: int, body: bytes = b"x") -> Outcome:
-    return Outcome(
+def outcome(path: str, status: int, body: bytes = b"x") -> RequestRecord:
+    return RequestRecord(
         id="r1",
         path=path,
         key="key-1",
@@ -59,36 +62,38 @@
 
     def test_ran_twice(self):
         self.arrive(2)
-        self.assertTrue(check([outcome("/book/1", 0)], self.fleet))
-        self.assertFalse(check([outcome("/read/1", 0)], self.fleet))
+        self.assertTrue(check_history([outcome("/book/1", 0)], self.fleet))
+        self.assertFalse(check_history([outcome("/read/1", 0)], self.fleet))
 
     def test_refused_though_it_ran(self):
         self.arrive(1)
-        self.assertTrue(check([outcome("/book/1", 503)], self.fleet))
-        self.assertFalse(check([outcome("/book/1", 502)], self.fleet))
+        self.assertTrue(check_history([outcome("/book/1", 503)], self.fleet))
+        self.assertFalse(check_history([outcome("/book/1", 502)], self.fleet))
 
     def test_refused_by_the_endpoint(self):
         self.arrive(2, ran=False)
-        self.assertFalse(check([outcome("/book/1", 503)], self.fleet))
+        self.assertFalse(check_history([outcome("/book/1", 503)], self.fleet))
 
     def test_nobody_sent_it(self):
         self.arrive(1)
-        self.assertTrue(check([], self.fleet))
+        self.assertTrue(check_history([], self.fleet))
 
     def test_memory_left(self):
         self.runner.reservations["key"] = 5
-        self.assertTrue(check([], self.fleet))
+        self.assertTrue(check_history([], self.fleet))
 
     def test_answers(self):
         whole = range(1, STREAM_EVENTS + 1)
         right = outcome("/chat/1", 200, events(*whole))
-        self.assertEqual(wrong_answer(right), "")
+        self.assertEqual(find_response_problem(right), "")
         for ids in ([1, 2], [*whole][:-1], [1, *whole], [*whole][1:]):
-            self.assertTrue(wrong_answer(outcome("/chat/1", 200, events(*ids))))
+            self.assertTrue(
+                find_response_problem(outcome("/chat/1", 200, events(*ids)))
+            )
         other = outcome("/read/1", 200, b"answer of r2")
-        self.assertTrue(wrong_answer(other))
+        self.assertTrue(find_response_problem(other))
         right.signed = False
-        self.assertTrue(wrong_answer(right))
+        self.assertTrue(find_response_problem(right))
 
 
 class SoakTest(unittest.TestCase):
@@ -102,7 +107,7 @@
 
     def run_seed(self, seed: int, seconds: float):
         with tempfile.TemporaryDirectory() as folder:
-            problems = asyncio.run(soak(seed, seconds, Path(folder)))
+            problems = asyncio.run(run_soak(seed, seconds, Path(folder)))
         self.assertEqual(problems, [])
 
 
--- a/tools/generate_schema.py
+++ b/tools/generate_schema.py
@@ -55,7 +55,7 @@
 }
 
 
-class Comment:
+class SchemaComment:
     """A schema comment: its text and its directives."""
 
     __slots__ = ("options", "text")
@@ -71,13 +71,13 @@
         }
 
 
-class Comments:
+class SchemaComments:
     """All comments of one IDL file, by ``Name`` or ``Name.field``."""
 
     __slots__ = ("by_name", "module")
 
     def __init__(self, *, source: str) -> None:
-        self.by_name: dict[str, Comment] = {}
+        self.by_name: dict[str, SchemaComment] = {}
         pending: list[str] = []
         self.module = ""
         owner = ""
@@ -90,21 +90,21 @@
                 self.module = " ".join(pending)
             elif opened := re.match(r"(?:struct|enum)\s+(\w+)\s*\{", line):
                 owner = opened[1]
-                self.by_name[owner] = Comment(lines=pending)
+                self.by_name[owner] = SchemaComment(lines=pending)
             elif line.startswith("}"):
                 owner = ""
             elif field := re.match(
                 r"(?:\d+:.*?(\w+)\s*(?:=.*)?$|(\w+)\s*=\s*\d+)", line
             ):
                 name = (field[1] or field[2]).rstrip("_")
-                self.by_name[f"{owner}.{name}"] = Comment(lines=pending)
+                self.by_name[f"{owner}.{name}"] = SchemaComment(lines=pending)
             elif line.startswith("include") and pending and not self.module:
                 self.module = " ".join(pending)
             pending = []
 
-    def of(self, name: str) -> Comment:
+    def find_comment(self, name: str) -> SchemaComment:
         """Returns the comment of a name, empty if it has none."""
-        return self.by_name.get(name) or Comment(lines=[])
+        return self.by_name.get(name) or SchemaComment(lines=[])
 
 
 def _is_enum(kind: Any) -> bool:
@@ -202,7 +202,7 @@
     ]
 
 
-def _describe(comment: Comment) -> str:
+def _describe(comment: SchemaComment) -> str:
     return f"Description(text={comment.text!r}, options={comment.options!r})"
 
 
@@ -210,13 +210,13 @@
     return f'{indent}"""{text or "Generated from the schema."}"""'
 
 
-def render_enum(enum: Any, comments: Comments) -> str:
+def render_enum(enum: Any, comments: SchemaComments) -> str:
     """Renders one enum and its descriptions."""
     name = enum.__name__
     members = enum._VALUES_TO_NAMES.items()
     lines = [
         f"class {name}(enum.IntEnum):",
-        _docstring(comments.of(name).text, "    "),
+        _docstring(comments.find_comment(name).text, "    "),
         "",
         *(f"    {member} = {value}" for value, member in members),
         "",
@@ -224,12 +224,12 @@
         f"{name.upper()}_INFO: Final = {{",
     ]
     for _, member in members:
-        described = _describe(comments.of(f"{name}.{member}"))
+        described = _describe(comments.find_comment(f"{name}.{member}"))
         lines.append(f"    {name}.{member}: {described},")
     return "\n".join([*lines, "}"])
 
 
-def render_struct(struct: Any, source: str, comments: Comments) -> str:
+def render_struct(struct: Any, source: str, comments: SchemaComments) -> str:
     """Renders one struct as a slotted data class."""
     name = struct.__name__
     fields = _struct_fields(struct, source)
@@ -239,7 +239,7 @@
     lines = [
         "@dataclass(slots=True, kw_only=True)",
         f"class {name}(Struct):",
-        _docstring(comments.of(name).text, "    "),
+        _docstring(comments.find_comment(name).text, "    "),
         "",
         *(f"    {f.name}: {f.annotation} = {f.default}" for f in fields),
         "",
@@ -250,7 +250,7 @@
         "    descriptions: ClassVar[dict[str, Description]] = {",
     ]
     for f in fields:
-        described = _describe(comments.of(f"{name}.{f.name}"))
+        described = _describe(comments.find_comment(f"{name}.{f.name}"))
         lines.append(f"        {f.name!r}: {described},")
     return "\n".join([*lines, "    }"])
 
@@ -258,7 +258,7 @@
 def render_module(name: str, module: ModuleType) -> str:
     """Renders the Python module of one IDL file."""
     source = (SCHEMA_DIR / f"{name}.thrift").read_text("utf-8")
-    comments = Comments(source=source)
+    comments = SchemaComments(source=source)
     meta = module.__thrift_meta__
     local = [k for k in ("enums", "structs") if k in meta]
     own = {item.__name__: item for kind in local for item in meta[kind]}
@@ -312,7 +312,7 @@
     lines = ["| Code | Name | HTTP | Ran | Meaning |", "|---|---|---|---|---|"]
     enum = _load("results").ResultCode
     for value, name in enum._VALUES_TO_NAMES.items():
-        c = comments.of(f"ResultCode.{name}")
+        c = comments.find_comment(f"ResultCode.{name}")
         lines.append(
             f"| {value} | `{name}` | {c.options['http']} |"
             f" {c.options['ran']} | {c.text} |"
@@ -325,7 +325,7 @@
     comments = _comments("events")
     lines = ["| Event | Name | Level | Meaning |", "|---|---|---|---|"]
     for value, name in _load("events").EventId._VALUES_TO_NAMES.items():
-        c = comments.of(f"EventId.{name}")
+        c = comments.find_comment(f"EventId.{name}")
         lines.append(
             f"| {value} | `{name}` | {c.options['level']} | {c.text} |"
         )
@@ -353,20 +353,27 @@
     lines: list[str] = []
     for spec in getattr(_load(name), whole).thrift_spec.values():
         section, struct = spec[1], spec[2]
-        lines += [f"## [{section}]", "", comments.of(struct.__name__).text, ""]
+        lines += [
+            f"## [{section}]",
+            "",
+            comments.find_comment(struct.__name__).text,
+            "",
+        ]
         lines += [
             "| Key | Type | Default | Bounds | Unit | Meaning |",
             "|---|---|---|---|---|---|",
         ]
         defaults = dict(struct.default_spec)
         for field in struct.thrift_spec.values():
-            c = comments.of(f"{struct.__name__}.{field[1]}")
+            c = comments.find_comment(f"{struct.__name__}.{field[1]}")
             lines.append(_settings_row(field, defaults.get(field[1]), c))
         lines.append("")
     return lines
 
 
-def _settings_row(field: tuple[Any, ...], default: Any, c: Comment) -> str:
+def _settings_row(
+    field: tuple[Any, ...], default: Any, c: SchemaComment
+) -> str:
     options = c.options
     bounds = f"{options.get('min', '')}..{options.get('max', '')}"
     if "choices" in options:
@@ -380,8 +387,10 @@
     )
 
 
-def _comments(name: str) -> Comments:
-    return Comments(source=(SCHEMA_DIR / f"{name}.thrift").read_text("utf-8"))
+def _comments(name: str) -> SchemaComments:
+    return SchemaComments(
+        source=(SCHEMA_DIR / f"{name}.thrift").read_text("utf-8")
+    )
 
 
 def _load(name: str) -> ModuleType:
@@ -411,7 +420,7 @@
     return done.stdout
 
 
-def outputs() -> dict[Path, str]:
+def render_files() -> dict[Path, str]:
     """Returns the text of every generated file."""
     files = {
         PACKAGE_DIR / f"{name}.py": _formatted(render_module(name, _load(name)))
@@ -426,7 +435,7 @@
 def main(arguments: list[str]) -> int:
     """Writes the generated files, or compares them with ``--check``."""
     stale = []
-    for path, text in outputs().items():
+    for path, text in render_files().items():
         if path.exists() and path.read_text("utf-8") == text:
             continue
         stale.append(path.relative_to(ROOT))
--- a/tools/measure_overhead.py
+++ b/tools/measure_overhead.py
@@ -27,19 +27,24 @@
 if TYPE_CHECKING:
     import aiohttp
 
-PAIRS: Final = 150
+CALL_PAIRS: Final = 150
 WARM_UP_ROUNDS: Final = 4
-ENGINES: Final = 4
+ENGINE_COUNT: Final = 4
 STREAM_COUNTS: Final = (50, 100, 200)
 STREAM_TOKENS: Final = 150
-PROMPT: Final = "hello " * 700
+BENCHMARK_PROMPT: Final = "hello " * 700
 
 
-async def first_token_s(
+async def time_to_first_token_s(
     session: aiohttp.ClientSession, url: str, headers: dict[str, str]
 ) -> float:
     """Returns the time to first token of one call, in seconds."""
-    body = {"model": "chat", "prompt": PROMPT, "max_tokens": 1, "stream": True}
+    body = {
+        "model": "chat",
+        "prompt": BENCHMARK_PROMPT,
+        "max_tokens": 1,
+        "stream": True,
+    }
     started_at = time.perf_counter()
     async with session.post(
         url + "/v1/completions", json=body, headers=headers
@@ -55,10 +60,12 @@
 async def measure_first_token(fleet: ProcessFleet, url: str) -> dict[str, Any]:
     """Measures pairs of direct and routed calls in turn."""
     direct, routed = [], []
-    for number in range(PAIRS):
-        engine = fleet.urls[f"engine-{number % ENGINES}"]
-        direct.append(await first_token_s(fleet.session, engine, {}))
-        routed.append(await first_token_s(fleet.session, url, AUTHORIZATION))
+    for number in range(CALL_PAIRS):
+        engine = fleet.urls[f"engine-{number % ENGINE_COUNT}"]
+        direct.append(await time_to_first_token_s(fleet.session, engine, {}))
+        routed.append(
+            await time_to_first_token_s(fleet.session, url, AUTHORIZATION)
+        )
     added_ms = 1000 * (statistics.median(routed) - statistics.median(direct))
     return {
         "direct_median_ms": round(1000 * statistics.median(direct), 2),
@@ -88,20 +95,20 @@
     fleet: ProcessFleet, url: str, pid: int, count: int
 ) -> dict[str, Any]:
     """Measures many streams at one time, direct and routed."""
-    engines = [fleet.urls[f"engine-{number}"] for number in range(ENGINES)]
+    engines = [fleet.urls[f"engine-{number}"] for number in range(ENGINE_COUNT)]
     started_at = time.perf_counter()
     async with asyncio.TaskGroup() as group:
         for number in range(count):
-            engine = engines[number % ENGINES]
+            engine = engines[number % ENGINE_COUNT]
             group.create_task(run_stream(fleet.session, engine, {}))
     direct_s = time.perf_counter() - started_at
-    cpu_before_s = cpu_seconds(pid)
+    cpu_before_s = cpu_time_s(pid)
     started_at = time.perf_counter()
     async with asyncio.TaskGroup() as group:
         for _ in range(count):
             group.create_task(run_stream(fleet.session, url, AUTHORIZATION))
     routed_s = time.perf_counter() - started_at
-    cpu_s = cpu_seconds(pid) - cpu_before_s
+    cpu_s = cpu_time_s(pid) - cpu_before_s
     tokens = count * STREAM_TOKENS
     return {
         "streams": count,
@@ -113,7 +120,7 @@
     }
 
 
-def cpu_seconds(pid: int) -> float:
+def cpu_time_s(pid: int) -> float:
     """Returns the processor time of a process so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text("utf-8").rsplit(")", 1)[1]
     user, system = fields.split()[11:13]
@@ -132,7 +139,7 @@
     """Runs all measurements and prints them."""
     async with open_process_fleet() as fleet:
         await fleet.start_standin("platform", "platform")
-        for number in range(ENGINES):
+        for number in range(ENGINE_COUNT):
             await fleet.start_standin(
                 f"engine-{number}",
                 "engine",
--- a/tools/measure_state.py
+++ b/tools/measure_state.py
@@ -23,8 +23,8 @@
     Ticket,
 )
 
-SIZES: Final = (110, 220, 440, 880, 1760)
-REPEATS: Final = 20
+OBJECT_COUNTS: Final = (110, 220, 440, 880, 1760)
+JOIN_REPEATS: Final = 20
 
 
 def make_changes(objects: int) -> list[Change]:
@@ -67,7 +67,7 @@
     )
 
 
-def measure(objects: int) -> dict[str, float]:
+def measure_state(objects: int) -> dict[str, float]:
     """Measures one size."""
     changes = make_changes(objects)
     tracemalloc.start()
@@ -76,9 +76,9 @@
     memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     started_at = time.perf_counter()
-    for number in range(2, REPEATS + 2):
+    for number in range(2, JOIN_REPEATS + 2):
         state.join_ticket(Ticket(number=number, changes=changes[-1:]))
-    join_s = (time.perf_counter() - started_at) / REPEATS
+    join_s = (time.perf_counter() - started_at) / JOIN_REPEATS
     snapshot = json.dumps(to_json(state.snapshot()))
     return {
         "objects": objects,
@@ -89,5 +89,5 @@
 
 
 if __name__ == "__main__":
-    for size in SIZES:
-        print(json.dumps(measure(size)))
+    for size in OBJECT_COUNTS:
+        print(json.dumps(measure_state(size)))
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -17,9 +17,9 @@
 from typing import Final
 
 ROOT: Final = Path(__file__).resolve().parent.parent
-KNOWN_RED: Final = ROOT / "KNOWN-RED.txt"
+KNOWN_RED_FILE: Final = ROOT / "KNOWN-RED.txt"
 WORKERS: Final = max(2, (os.cpu_count() or 2) - 2)
-MODULE_LIMIT_S: Final = 600  # a module that hangs fails instead
+MODULE_TIMEOUT_S: Final = 600  # a module that hangs fails instead
 
 
 class ModuleTimeoutError(BaseException):
@@ -62,7 +62,7 @@
     """Runs one test module and collects its failures."""
     started = time.monotonic()
     signal.signal(signal.SIGALRM, _end_module)
-    signal.alarm(MODULE_LIMIT_S)
+    signal.alarm(MODULE_TIMEOUT_S)
     runner = unittest.TextTestRunner(stream=io.StringIO(), verbosity=0)
     try:
         suite = unittest.defaultTestLoader.loadTestsFromName(name)
@@ -71,7 +71,7 @@
         return ModuleReport(
             name=name,
             run=1,
-            failures=[(name, f"not done after {MODULE_LIMIT_S} s")],
+            failures=[(name, f"not done after {MODULE_TIMEOUT_S} s")],
             seconds=time.monotonic() - started,
         )
     finally:
@@ -95,9 +95,9 @@
 
 def read_known_red() -> set[str]:
     """Returns the ids of tests that are known to fail."""
-    if not KNOWN_RED.exists():
+    if not KNOWN_RED_FILE.exists():
         return set()
-    lines = KNOWN_RED.read_text("utf-8").splitlines()
+    lines = KNOWN_RED_FILE.read_text("utf-8").splitlines()
     return {line.split()[0] for line in lines if line.startswith("tests.")}
 
 
