--- a/src/auburnswitch/experiments/actions.py
+++ b/src/auburnswitch/experiments/actions.py
@@ -145,96 +145,96 @@
     | RaceTickets
 )
 
-DAEMONS: Final = 3
-ENGINES: Final = 4
-ZONES: Final = 3
-KEYS: Final = 40
-LONGEST_PROMPT_TOKENS: Final = 60_000
+DAEMON_COUNT: Final = 3
+ENGINE_COUNT: Final = 4
+ZONE_COUNT: Final = 3
+KEY_COUNT: Final = 40
+MAX_PROMPT_TOKENS: Final = 60_000
 
 
-def draw_action(chance: random.Random) -> Action:
+def draw_action(rng: random.Random) -> Action:
     """Draws an action; most of them send work or let time pass."""
-    draw = chance.choices(
+    draw = rng.choices(
         [draw_for for draw_for, _ in _WEIGHTS],
         [weight for _, weight in _WEIGHTS],
     )[0]
-    return draw(chance)
+    return draw(rng)
 
 
-def _complete(chance: random.Random) -> Action:
-    tokens = int(10 ** chance.uniform(2, 4.78))
+def _complete(rng: random.Random) -> Action:
+    tokens = int(10 ** rng.uniform(2, 4.78))
     return Complete(
-        daemon=chance.randrange(DAEMONS),
-        prompt_tokens=min(tokens, LONGEST_PROMPT_TOKENS),
-        answer_tokens=chance.randint(1, 80),
-        deadline_s=chance.choice((5.0, 30.0, 120.0)),
-        crashing=chance.random() < 0.02,
+        daemon=rng.randrange(DAEMON_COUNT),
+        prompt_tokens=min(tokens, MAX_PROMPT_TOKENS),
+        answer_tokens=rng.randint(1, 80),
+        deadline_s=rng.choice((5.0, 30.0, 120.0)),
+        crashing=rng.random() < 0.02,
     )
 
 
-def _book(chance: random.Random) -> Action:
-    return Book(daemon=chance.randrange(DAEMONS), key=chance.randrange(KEYS))
+def _book(rng: random.Random) -> Action:
+    return Book(
+        daemon=rng.randrange(DAEMON_COUNT), key=rng.randrange(KEY_COUNT)
+    )
 
 
-def _kill(chance: random.Random) -> Action:
+def _kill(rng: random.Random) -> Action:
     return KillDaemon(
-        daemon=chance.randrange(DAEMONS), down_s=chance.uniform(0.5, 30)
+        daemon=rng.randrange(DAEMON_COUNT), down_s=rng.uniform(0.5, 30)
     )
 
 
-def _freeze(chance: random.Random) -> Action:
+def _freeze(rng: random.Random) -> Action:
     return FreezeDaemon(
-        daemon=chance.randrange(DAEMONS), seconds=chance.uniform(0.5, 20)
+        daemon=rng.randrange(DAEMON_COUNT), seconds=rng.uniform(0.5, 20)
     )
 
 
-def _move_zone(chance: random.Random) -> Action:
+def _move_zone(rng: random.Random) -> Action:
     return MoveZone(
-        zone=chance.randrange(ZONES),
-        daemon=chance.randrange(DAEMONS),
-        out_s=chance.uniform(5, 60),
+        zone=rng.randrange(ZONE_COUNT),
+        daemon=rng.randrange(DAEMON_COUNT),
+        out_s=rng.uniform(5, 60),
     )
 
 
-def _slow(chance: random.Random) -> Action:
-    return SlowPlatform(
-        delay_s=chance.uniform(0.1, 3), seconds=chance.uniform(1, 30)
-    )
+def _slow(rng: random.Random) -> Action:
+    return SlowPlatform(delay_s=rng.uniform(0.1, 3), seconds=rng.uniform(1, 30))
 
 
-def _race(chance: random.Random) -> Action:
+def _race(rng: random.Random) -> Action:
     return RaceTickets(
-        first=chance.randrange(DAEMONS), second=chance.randrange(DAEMONS)
+        first=rng.randrange(DAEMON_COUNT), second=rng.randrange(DAEMON_COUNT)
     )
 
 
-def _freeze_engine(chance: random.Random) -> Action:
+def _freeze_engine(rng: random.Random) -> Action:
     return FreezeEngine(
-        engine=chance.randrange(ENGINES), seconds=chance.uniform(1, 15)
+        engine=rng.randrange(ENGINE_COUNT), seconds=rng.uniform(1, 15)
     )
 
 
 _WEIGHTS: Final[tuple[tuple[Callable[[random.Random], Action], float], ...]] = (
-    (lambda chance: Wait(seconds=chance.expovariate(0.5)), 30),
+    (lambda rng: Wait(seconds=rng.expovariate(0.5)), 30),
     (_complete, 40),
     (_book, 15),
     (_kill, 1),
     (_freeze, 1),
-    (lambda chance: ReplaceDaemon(daemon=chance.randrange(DAEMONS)), 1),
-    (lambda chance: CrashEngine(engine=chance.randrange(ENGINES)), 2),
-    (lambda chance: ColdEngine(engine=chance.randrange(ENGINES)), 1),
+    (lambda rng: ReplaceDaemon(daemon=rng.randrange(DAEMON_COUNT)), 1),
+    (lambda rng: CrashEngine(engine=rng.randrange(ENGINE_COUNT)), 2),
+    (lambda rng: ColdEngine(engine=rng.randrange(ENGINE_COUNT)), 1),
     (_freeze_engine, 1),
-    (lambda chance: DropConnections(engine=chance.randrange(ENGINES)), 2),
-    (lambda chance: PlatformOutage(seconds=chance.uniform(1, 60)), 1),
+    (lambda rng: DropConnections(engine=rng.randrange(ENGINE_COUNT)), 2),
+    (lambda rng: PlatformOutage(seconds=rng.uniform(1, 60)), 1),
     (_slow, 1),
-    (lambda chance: LoseAnswers(count=chance.randint(1, 3)), 2),
+    (lambda rng: LoseAnswers(count=rng.randint(1, 3)), 2),
     (_move_zone, 1),
     (_race, 1),
 )
 
 __all__ = [
-    "DAEMONS",
-    "ENGINES",
+    "DAEMON_COUNT",
+    "ENGINE_COUNT",
     "Action",
     "Book",
     "ColdEngine",
--- a/src/auburnswitch/experiments/arrivals.py
+++ b/src/auburnswitch/experiments/arrivals.py
@@ -16,13 +16,13 @@
     """One part of the offered requests.
 
     Attributes:
-        length: Length class of its prompts.
+        length_class: Length class of its prompts.
         share: Share of all requests.
         min_tokens: Shortest prompt, in tokens.
         max_tokens: Longest prompt, in tokens.
     """
 
-    length: LengthClass
+    length_class: LengthClass
     share: float
     min_tokens: int
     max_tokens: int
@@ -33,18 +33,21 @@
         return (self.min_tokens + self.max_tokens) / 2
 
 
-MIX: Final = (
+PROMPT_LENGTH_MIX: Final = (
     LengthShare(
-        length=LengthClass.SHORT, share=0.96, min_tokens=1_000, max_tokens=8_000
+        length_class=LengthClass.SHORT,
+        share=0.96,
+        min_tokens=1_000,
+        max_tokens=8_000,
     ),
     LengthShare(
-        length=LengthClass.MEDIUM,
+        length_class=LengthClass.MEDIUM,
         share=0.02,
         min_tokens=8_001,
         max_tokens=40_000,
     ),
     LengthShare(
-        length=LengthClass.LONG,
+        length_class=LengthClass.LONG,
         share=0.02,
         min_tokens=100_001,
         max_tokens=400_000,
@@ -57,17 +60,17 @@
     """One request that is to be sent.
 
     Attributes:
-        at_s: When, in seconds from the start.
-        length: Length class of the prompt.
+        offset_s: When, in seconds from the start.
+        length_class: Length class of the prompt.
         tokens: Tokens of the prompt.
-        entry: Number of the daemon that the balancer chooses.
+        daemon_number: Number of the daemon that the balancer chooses.
         name: Makes the prompt unlike all others.
     """
 
-    at_s: float
-    length: LengthClass
+    offset_s: float
+    length_class: LengthClass
     tokens: int
-    entry: int
+    daemon_number: int
     name: str
 
     def prompt(self) -> str:
@@ -75,8 +78,13 @@
         return f"{self.name} ".ljust(self.tokens * BYTES_PER_TOKEN, ".")
 
 
-def make_arrivals(
-    *, seed: int, load: float, capacity: float, daemons: int, duration_s: float
+def generate_arrivals(
+    *,
+    seed: int,
+    load: float,
+    capacity_tokens_per_s: float,
+    daemons: int,
+    duration_s: float,
 ) -> list[Arrival]:
     """Draws arrivals whose sum of prompt tokens is exactly the load wanted.
 
@@ -86,7 +94,7 @@
     Args:
         seed: Seed of all draws.
         load: Share of the capacity that is offered.
-        capacity: Prompt tokens that all engines prefill in a second.
+        capacity_tokens_per_s: Prompt tokens that all engines prefill in a second.
         daemons: Number of daemons.
         duration_s: Time over which requests arrive, in seconds.
 
@@ -94,19 +102,21 @@
         The arrivals in order of time. Those of one length class do not
         depend on the others.
     """
-    mean_tokens = sum(part.share * part.mean_tokens for part in MIX)
-    total = load * capacity * duration_s / mean_tokens
+    mean_tokens = sum(
+        part.share * part.mean_tokens for part in PROMPT_LENGTH_MIX
+    )
+    total = load * capacity_tokens_per_s * duration_s / mean_tokens
     arrivals = []
-    for part in MIX:
+    for part in PROMPT_LENGTH_MIX:
         count = round(total * part.share)
         arrivals += _draw(part, count, seed, daemons, duration_s)
-    return sorted(arrivals, key=lambda arrival: arrival.at_s)
+    return sorted(arrivals, key=lambda arrival: arrival.offset_s)
 
 
 def _draw(
     part: LengthShare, count: int, seed: int, daemons: int, duration_s: float
 ) -> list[Arrival]:
-    source = random.Random(f"{seed}/{part.length.name}")
+    source = random.Random(f"{seed}/{part.length_class.name}")
     width = (part.max_tokens - part.min_tokens) / max(1, count)
     lengths = [
         round(part.min_tokens + (number + source.random()) * width)
@@ -115,14 +125,14 @@
     source.shuffle(lengths)
     return [
         Arrival(
-            at_s=source.uniform(0, duration_s),
-            length=part.length,
+            offset_s=source.uniform(0, duration_s),
+            length_class=part.length_class,
             tokens=tokens,
-            entry=source.randrange(daemons),
-            name=f"{seed}/{part.length.name}/{number}",
+            daemon_number=source.randrange(daemons),
+            name=f"{seed}/{part.length_class.name}/{number}",
         )
         for number, tokens in enumerate(lengths)
     ]
 
 
-__all__ = ["MIX", "Arrival", "LengthShare", "make_arrivals"]
+__all__ = ["PROMPT_LENGTH_MIX", "Arrival", "LengthShare", "generate_arrivals"]
--- a/src/auburnswitch/experiments/chaos.py
+++ b/src/auburnswitch/experiments/chaos.py
@@ -8,12 +8,11 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments import actions
-from auburnswitch.experiments.calls import Caller
 from auburnswitch.experiments.checker import (
-    Closing,
-    Loss,
+    ConfigSample,
+    DaemonOutage,
     RunHistory,
-    StateSample,
+    UnschedulablePeriod,
     Violation,
     check_run,
 )
@@ -25,6 +24,7 @@
     FleetOptions,
     open_fleet,
 )
+from auburnswitch.experiments.recording_caller import RecordingCaller
 from auburnswitch.schema.objects import Change, ObjectKind, Service, ServiceKind
 from auburnswitch.standins.answers import BYTES_PER_TOKEN
 from auburnswitch.standins.engine_model import EngineOptions
@@ -39,9 +39,9 @@
 SETTLE_S: Final = 60.0
 SAMPLE_INTERVAL_S: Final = 1.0
 PLAIN_DEADLINE_S: Final = 30.0
-APPLY_RETRY_S: Final = 1.0
-APPLY_TRIES: Final = 90
-DAEMON_PORTS: Final = 30_000
+APPLY_RETRY_INTERVAL_S: Final = 1.0
+APPLY_MAX_ATTEMPTS: Final = 90
+DAEMON_BASE_PORT: Final = 30_000
 COLD_DELAY_S: Final = 1.0
 
 
@@ -50,20 +50,32 @@
 
     Attributes:
         fleet: The fleet.
-        run: What is known for the checker.
+        run_history: What is known for the checker.
         caller: Sends calls and records them.
     """
 
-    __slots__ = ("caller", "down", "fleet", "frozen", "moving", "run", "tasks")
+    __slots__ = (
+        "caller",
+        "down_daemons",
+        "fleet",
+        "frozen_daemons",
+        "moving_zones",
+        "run_history",
+        "tasks",
+    )
 
     def __init__(self, *, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.caller = Caller(session=fleet.session, caller_key=CALLER_KEY)
-        self.run = RunHistory(history=fleet.history, calls=self.caller.records)
+        self.caller = RecordingCaller(
+            session=fleet.session, caller_key=CALLER_KEY
+        )
+        self.run_history = RunHistory(
+            history=fleet.history, calls=self.caller.records
+        )
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.down: set[int] = set()
-        self.frozen: set[int] = set()
-        self.moving: set[str] = set()
+        self.down_daemons: set[int] = set()
+        self.frozen_daemons: set[int] = set()
+        self.moving_zones: set[str] = set()
 
     async def apply(self, action: actions.Action) -> None:
         """Applies one action; one that makes no sense now does nothing."""
@@ -90,22 +102,24 @@
         while self.tasks:
             await asyncio.wait(self.tasks)
         await asyncio.sleep(SETTLE_S)
-        await self.fleet.wait_in_force()
+        await self.fleet.wait_until_converged()
         self.sample()
-        return check_run(self.run)
+        return check_run(self.run_history)
 
     def sample(self) -> None:
         """Notes the configuration that each daemon has in force."""
         for daemon in self.fleet.daemons.values():
-            numbers = {
+            ticket_numbers = {
                 f"{kind.name}/{name}": entry.number
                 for (kind, name), entry in daemon.state.entries.items()
             }
-            self.run.samples.append(
-                StateSample(member_id=daemon.member.id, numbers=numbers)
+            self.run_history.samples.append(
+                ConfigSample(
+                    member_id=daemon.member.id, ticket_numbers=ticket_numbers
+                )
             )
 
-    async def sample_for_ever(self) -> None:
+    async def sample_periodically(self) -> None:
         """Samples once a second."""
         while True:
             self.sample()
@@ -162,52 +176,52 @@
         self, action: actions.KillDaemon | actions.FreezeDaemon
     ) -> None:
         number = action.daemon
-        busy = self.down | self.frozen
+        busy = self.down_daemons | self.frozen_daemons
         if self._daemon(number) is None or number in busy:
             return
-        loss = Loss(
+        loss = DaemonOutage(
             daemon=f"entry-{number}",
-            lost_at=monotonic_s(),
+            began_at=monotonic_s(),
             killed=isinstance(action, actions.KillDaemon),
         )
-        self.run.losses.append(loss)
+        self.run_history.daemon_outages.append(loss)
         match action:
             case actions.KillDaemon(down_s=down_s):
-                self.down.add(number)
+                self.down_daemons.add(number)
                 self.fleet.kill_daemon(number)
                 self._start(self._start_later(number, down_s, loss))
             case actions.FreezeDaemon(seconds=seconds):
-                self.frozen.add(number)
+                self.frozen_daemons.add(number)
                 self.fleet.freeze_daemon(number)
                 self._start(self._thaw_later(number, seconds, loss))
 
     async def _start_later(
-        self, number: int, seconds: float, loss: Loss
+        self, number: int, seconds: float, loss: DaemonOutage
     ) -> None:
         await asyncio.sleep(seconds)
         await self.fleet.start_daemon(number)
-        loss.back_at = monotonic_s()
-        self.down.discard(number)
+        loss.recovered_at = monotonic_s()
+        self.down_daemons.discard(number)
 
     async def _thaw_later(
-        self, number: int, seconds: float, loss: Loss
+        self, number: int, seconds: float, loss: DaemonOutage
     ) -> None:
         await asyncio.sleep(seconds)
         self.fleet.thaw_daemon(number)
-        loss.back_at = monotonic_s()
-        self.frozen.discard(number)
+        loss.recovered_at = monotonic_s()
+        self.frozen_daemons.discard(number)
 
     def _replace(self, number: int) -> None:
-        busy = self.down | self.frozen
+        busy = self.down_daemons | self.frozen_daemons
         if self._daemon(number) is None or number in busy:
             return
-        self.down.add(number)
+        self.down_daemons.add(number)
         self._start(self._replace_now(number))
 
     async def _replace_now(self, number: int) -> None:
         await self.fleet.stop_daemon(number)
         await self.fleet.start_daemon(number)
-        self.down.discard(number)
+        self.down_daemons.discard(number)
 
     def _disturb_outside(self, action: actions.Action) -> None:
         engines = list(self.fleet.engines.values())
@@ -243,29 +257,31 @@
 
     async def _move_zone(self, action: actions.MoveZone) -> None:
         zone = self.fleet.options.zones[action.zone]
-        if zone in self.moving:
+        if zone in self.moving_zones:
             return
-        self.moving.add(zone)
+        self.moving_zones.add(zone)
         taken_out = await self._apply_change(
             self.fleet.zone_change(zone, out=True), action.daemon
         )
         if taken_out is not None:
             await self._bring_back(action, zone, taken_out)
-        self.moving.discard(zone)
+        self.moving_zones.discard(zone)
 
     async def _bring_back(
         self, action: actions.MoveZone, zone: str, taken_out: float
     ) -> None:
-        closings = [
-            Closing(endpoint=name, accepted_at=taken_out)
+        periods = [
+            UnschedulablePeriod(endpoint=name, accepted_at=taken_out)
             for name in self._endpoints_in(zone)
         ]
-        self.run.closings += closings
+        self.run_history.unschedulable_periods += periods
         await asyncio.sleep(action.out_s)
-        for closing in closings:  # the ticket back may be in force at once
-            closing.reopened_at = monotonic_s()
+        for closing in periods:  # the ticket back may be in force at once
+            closing.schedulable_at = monotonic_s()
         await self._apply_change(
-            self.fleet.zone_change(zone), action.daemon, tries=APPLY_TRIES
+            self.fleet.zone_change(zone),
+            action.daemon,
+            tries=APPLY_MAX_ATTEMPTS,
         )
 
     def _endpoints_in(self, zone: str) -> list[str]:
@@ -301,32 +317,32 @@
             with contextlib.suppress(Exception):  # none may be up
                 await self.fleet.apply(ticket, up[0])
                 return monotonic_s()
-            await asyncio.sleep(APPLY_RETRY_S)
+            await asyncio.sleep(APPLY_RETRY_INTERVAL_S)
         return None
 
 
 @contextlib.asynccontextmanager
-async def open_chaos(
+async def open_chaos_run(
     *,
     connector: Callable[[], aiohttp.BaseConnector],
     options: FleetOptions | None = None,
 ) -> AsyncIterator[ChaosRun]:
     """Starts a fleet for a randomised run; needs a `FreezableLoop`."""
     options = options or FleetOptions(
-        engines=actions.ENGINES,
-        daemons=actions.DAEMONS,
+        engines=actions.ENGINE_COUNT,
+        daemons=actions.DAEMON_COUNT,
         plain_services=2,
         connector=connector,
-        base_port=DAEMON_PORTS,
+        base_port=DAEMON_BASE_PORT,
         engine=EngineOptions(cold_delay_s=COLD_DELAY_S),
     )
     async with open_fleet(options) as fleet:
         chaos = ChaosRun(fleet=fleet)
-        sampler = asyncio.create_task(chaos.sample_for_ever())
+        sampler = asyncio.create_task(chaos.sample_periodically())
         try:
             yield chaos
         finally:
             sampler.cancel()
 
 
-__all__ = ["ChaosRun", "open_chaos"]
+__all__ = ["ChaosRun", "open_chaos_run"]
--- a/src/auburnswitch/experiments/checker.py
+++ b/src/auburnswitch/experiments/checker.py
@@ -12,19 +12,19 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from auburnswitch.experiments.calls import CallRecord
+    from auburnswitch.experiments.recording_caller import CallRecord
     from auburnswitch.standins.history import History, HistoryRecord
 
-CLOSED_BOUND_S: Final = 3.0  # from a ticket's acceptance to the last new work
+CLOSE_DEADLINE_S: Final = 3.0  # from a ticket's acceptance to the last new work
 DEADLINE_SLACK_S: Final = 1.0
-INTERNAL: Final = "internal"
+INTERNAL_ERROR_RESULT: Final = "internal"
 OVERLOAD_CAUSE: Final = "cold overload"
-COLD_DETECTION_S: Final = 5.0  # from the last sign of a cold turn
-COLD_SIGNS: Final = 2  # slow answers that show an unannounced cold turn
-RUN_KINDS: Final = (HistoryKind.REQUEST_STARTED, HistoryKind.PLAIN_RUN)
+COLD_DETECTION_DELAY_S: Final = 5.0  # from the last sign of a cold turn
+MIN_SLOW_ANSWERS: Final = 2  # slow answers that show an unannounced cold turn
+EXECUTION_KINDS: Final = (HistoryKind.REQUEST_STARTED, HistoryKind.PLAIN_RUN)
 
 
-class Rule(enum.Enum):
+class RunInvariant(enum.Enum):
     """What a history must satisfy."""
 
     AT_MOST_ONCE = "a non-idempotent request runs at most once"
@@ -43,48 +43,48 @@
 class Violation:
     """A broken rule and where it broke."""
 
-    rule: Rule
+    invariant: RunInvariant
     detail: str
 
 
 @dataclass(slots=True, kw_only=True)
-class Closing:
+class UnschedulablePeriod:
     """A time in which an endpoint was to receive no new work.
 
     Attributes:
         endpoint: The endpoint.
         accepted_at: Loop time of the ticket's acceptance, in seconds.
-        reopened_at: Loop time at which it could receive work again.
+        schedulable_at: Loop time at which it could receive work again.
     """
 
     endpoint: str
     accepted_at: float
-    reopened_at: float = float("inf")
+    schedulable_at: float = float("inf")
 
 
 @dataclass(slots=True, kw_only=True)
-class Loss:
+class DaemonOutage:
     """A time in which a daemon was killed or frozen.
 
     Attributes:
         daemon: Name of the instance.
-        lost_at: Loop time at which it was lost, in seconds.
-        back_at: Loop time at which it ran again.
+        began_at: Loop time at which it was lost, in seconds.
+        recovered_at: Loop time at which it ran again.
         killed: It was killed, which breaks what runs at it.
     """
 
     daemon: str
-    lost_at: float
-    back_at: float = float("inf")
+    began_at: float
+    recovered_at: float = float("inf")
     killed: bool = True
 
 
 @dataclass(slots=True, kw_only=True)
-class StateSample:
+class ConfigSample:
     """Ticket numbers by object as one daemon had them in force."""
 
     member_id: str
-    numbers: dict[str, int] = field(default_factory=dict)
+    ticket_numbers: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True, kw_only=True)
@@ -94,18 +94,20 @@
     Attributes:
         history: What the stand-ins did.
         calls: What callers sent and saw.
-        closings: When endpoints were closed.
+        unschedulable_periods: When endpoints were closed.
         samples: Configuration states, in order of time.
-        losses: When instances were killed or frozen.
-        ended: The run has come to rest, so that all memory must be free.
+        daemon_outages: When instances were killed or frozen.
+        quiescent: The run has come to rest, so that all memory must be free.
     """
 
     history: History
     calls: list[CallRecord]
-    closings: list[Closing] = field(default_factory=list)
-    samples: list[StateSample] = field(default_factory=list)
-    losses: list[Loss] = field(default_factory=list)
-    ended: bool = True
+    unschedulable_periods: list[UnschedulablePeriod] = field(
+        default_factory=list
+    )
+    samples: list[ConfigSample] = field(default_factory=list)
+    daemon_outages: list[DaemonOutage] = field(default_factory=list)
+    quiescent: bool = True
 
 
 def check_run(run: RunHistory) -> list[Violation]:
@@ -124,7 +126,7 @@
 
 
 def _runs(run: RunHistory) -> Iterator[HistoryRecord]:
-    return run.history.select(*RUN_KINDS)
+    return run.history.select(*EXECUTION_KINDS)
 
 
 def _caller_id(record: HistoryRecord) -> str:
@@ -146,7 +148,7 @@
     for name, count in [*by_key.items(), *by_call.items()]:
         if count > 1:
             detail = f"{name} ran {count} times"
-            yield Violation(rule=Rule.AT_MOST_ONCE, detail=detail)
+            yield Violation(invariant=RunInvariant.AT_MOST_ONCE, detail=detail)
 
 
 def _check_whole_answers(run: RunHistory) -> Iterator[Violation]:
@@ -157,10 +159,10 @@
         whole = outcome.text == call.expected
         if outcome.result == "ok" and not whole:
             detail = f"{call.id} got {outcome.text[:40]!r}"
-            yield Violation(rule=Rule.WHOLE_ANSWER, detail=detail)
+            yield Violation(invariant=RunInvariant.WHOLE_ANSWER, detail=detail)
         elif not call.expected.startswith(outcome.text):
             detail = f"{call.id} got a part that is not its own"
-            yield Violation(rule=Rule.WHOLE_ANSWER, detail=detail)
+            yield Violation(invariant=RunInvariant.WHOLE_ANSWER, detail=detail)
 
 
 def _check_not_run(run: RunHistory) -> Iterator[Violation]:
@@ -168,50 +170,54 @@
     for call in run.calls:
         if call.outcome and call.outcome.ran == "no" and call.id in ran:
             detail = f"{call.id} was refused as {call.outcome.result}"
-            yield Violation(rule=Rule.NOT_RUN, detail=detail)
+            yield Violation(invariant=RunInvariant.NOT_RUN, detail=detail)
 
 
 def _check_ends(run: RunHistory) -> Iterator[Violation]:
     for call in run.calls:
         if call.outcome is None:
             detail = f"{call.id} has no answer"
-            yield Violation(rule=Rule.ANSWERED, detail=detail)
+            yield Violation(invariant=RunInvariant.ANSWERED, detail=detail)
             continue
-        if call.outcome.result == INTERNAL:
+        if call.outcome.result == INTERNAL_ERROR_RESULT:
             detail = f"{call.id} at {call.daemon}"
-            yield Violation(rule=Rule.NO_INTERNAL_ERROR, detail=detail)
-        losses = [loss for loss in run.losses if _meets(call, loss)]
-        lost = bool(losses)
-        killed = any(loss.killed for loss in losses)
+            yield Violation(
+                invariant=RunInvariant.NO_INTERNAL_ERROR, detail=detail
+            )
+        daemon_outages = [
+            loss for loss in run.daemon_outages if _meets(call, loss)
+        ]
+        lost = bool(daemon_outages)
+        killed = any(loss.killed for loss in daemon_outages)
         if call.outcome.result == "broken" and not killed:
             detail = f"{call.id} broke at {call.daemon}"
-            yield Violation(rule=Rule.ANSWERED, detail=detail)
+            yield Violation(invariant=RunInvariant.ANSWERED, detail=detail)
         elif (
             not lost
             and call.outcome.total_s > call.deadline_s + DEADLINE_SLACK_S
         ):
             detail = f"{call.id} took {call.outcome.total_s:.1f} s"
-            yield Violation(rule=Rule.ENDS_IN_TIME, detail=detail)
+            yield Violation(invariant=RunInvariant.ENDS_IN_TIME, detail=detail)
 
 
-def _meets(call: CallRecord, loss: Loss) -> bool:
+def _meets(call: CallRecord, loss: DaemonOutage) -> bool:
     """Tells whether a call ran while its daemon was lost."""
     assert call.outcome is not None
     ended_at = call.started_at + call.outcome.total_s
-    in_time = call.started_at <= loss.back_at and ended_at >= loss.lost_at
+    in_time = call.started_at <= loss.recovered_at and ended_at >= loss.began_at
     return call.daemon == loss.daemon and in_time
 
 
 def _check_closed(run: RunHistory) -> Iterator[Violation]:
-    for closing in run.closings:
-        first_s = closing.accepted_at + CLOSED_BOUND_S
+    for closing in run.unschedulable_periods:
+        first_s = closing.accepted_at + CLOSE_DEADLINE_S
         for record in _runs(run):
             got_at = _received_at(record)
-            late = first_s < got_at < closing.reopened_at
+            late = first_s < got_at < closing.schedulable_at
             if record.actor == closing.endpoint and late:
                 after_s = got_at - closing.accepted_at
                 detail = f"{closing.endpoint} got work {after_s:.1f} s later"
-                yield Violation(rule=Rule.CLOSED, detail=detail)
+                yield Violation(invariant=RunInvariant.CLOSED, detail=detail)
 
 
 def _received_at(record: HistoryRecord) -> float:
@@ -247,20 +253,22 @@
                 if overloaded and _is_known(seen, record.time_s):
                     at_s = record.time_s
                     detail = f"{record.actor} was overloaded at {at_s:.1f} s"
-                    yield Violation(rule=Rule.COLD_BOUND, detail=detail)
+                    yield Violation(
+                        invariant=RunInvariant.COLD_BOUND, detail=detail
+                    )
 
 
 def _is_known(signs: list[float] | None, time_s: float) -> bool:
     """Tells whether a cold turn must be known; an announced one always is."""
     if signs is None:
         return True
-    if len(signs) < COLD_SIGNS:
+    if len(signs) < MIN_SLOW_ANSWERS:
         return False
-    return time_s >= signs[COLD_SIGNS - 1] + COLD_DETECTION_S
+    return time_s >= signs[MIN_SLOW_ANSWERS - 1] + COLD_DETECTION_DELAY_S
 
 
 def _check_memory(run: RunHistory) -> Iterator[Violation]:
-    if not run.ended:
+    if not run.quiescent:
         return
     held: dict[str, dict[Any, HistoryRecord]] = {}
     kinds = (
@@ -281,26 +289,28 @@
     for actor, memory in held.items():
         for name in memory:
             detail = f"{actor} still holds {name}"
-            yield Violation(rule=Rule.MEMORY_FREED, detail=detail)
+            yield Violation(invariant=RunInvariant.MEMORY_FREED, detail=detail)
 
 
 def _check_states(run: RunHistory) -> Iterator[Violation]:
     newest: dict[tuple[str, str], int] = {}
     for sample in run.samples:
-        for name, number in sample.numbers.items():
+        for name, number in sample.ticket_numbers.items():
             key = (sample.member_id, name)
             if number < newest.get(key, 0):
                 detail = f"{sample.member_id} went back to {number} for {name}"
-                yield Violation(rule=Rule.STATE_MONOTONIC, detail=detail)
+                yield Violation(
+                    invariant=RunInvariant.STATE_MONOTONIC, detail=detail
+                )
             newest[key] = number
 
 
 __all__ = [
-    "Closing",
-    "Loss",
-    "Rule",
+    "UnschedulablePeriod",
+    "DaemonOutage",
+    "RunInvariant",
     "RunHistory",
-    "StateSample",
+    "ConfigSample",
     "Violation",
     "check_run",
 ]
--- a/src/auburnswitch/experiments/claims_cost.py
+++ b/src/auburnswitch/experiments/claims_cost.py
@@ -36,20 +36,20 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-DAEMONS: Final = 9
-SHARDS: Final = 16
+DAEMON_COUNT: Final = 9
+SHARD_COUNT: Final = 16
 STORE_DELAY_S: Final = 0.003
 PEER_DELAY_S: Final = 0.001
 SERVICE_TIME_S: Final = 0.05
-RATES: Final = (20, 100, 400, 1200)
-ANSWER: Final = b'{"id": "b1", "slot": "09:00"}' * 4
+RATES_PER_S: Final = (20, 100, 400, 1200)
+ANSWER_BODY: Final = b'{"id": "b1", "slot": "09:00"}' * 4
 _HEAD: Final = (
     "store     offered/s  claimed/s  refused  writes/claim  conflicts  "
     "bytes/claim  p50 ms  p95 ms"
 )
 
 
-class Claims(Protocol):
+class ClaimBackend(Protocol):
     """What both kinds of claim store offer."""
 
     async def claim(
@@ -63,7 +63,7 @@
         """Records an answer."""
 
 
-class OneObjectClaims:
+class PerObjectClaimBackend:
     """The baseline: creates an object for a claim and writes it again."""
 
     __slots__ = ("store",)
@@ -101,7 +101,7 @@
         )
 
 
-class Load:
+class BookingLoad:
     """Bookings that arrive at a rate at all daemons.
 
     Attributes:
@@ -117,7 +117,7 @@
         self.random = random.Random(1)
 
     async def run(
-        self, claims: list[Claims], rate: float, seconds: float
+        self, claims: list[ClaimBackend], rate: float, seconds: float
     ) -> float:
         """Offers bookings; returns the time until the last had ended."""
         started = time.perf_counter()
@@ -131,13 +131,13 @@
                 group.create_task(self._book(self.random.choice(claims), key))
         return time.perf_counter() - started
 
-    async def _book(self, claims: Claims, key: str) -> None:
+    async def _book(self, claims: ClaimBackend, key: str) -> None:
         started = time.perf_counter()
         match await claims.claim(key, "", time_left_s=10):
             case Claimed(claim=claim):
                 self.latencies_s.append(time.perf_counter() - started)
                 await asyncio.sleep(SERVICE_TIME_S)
-                await claims.record(claim, 201, "application/json", ANSWER)
+                await claims.record(claim, 201, "application/json", ANSWER_BODY)
             case _:
                 self.refused += 1
 
@@ -145,23 +145,25 @@
 @contextlib.asynccontextmanager
 async def open_claim_stores(
     platform: PlatformStandIn, *, grouped: bool
-) -> AsyncIterator[list[Claims]]:
+) -> AsyncIterator[list[ClaimBackend]]:
     """Opens the claim stores of all daemons."""
     async with contextlib.AsyncExitStack() as stack:
         tasks = await stack.enter_async_context(open_task_set())
-        stores: list[Claims] = []
-        for number in range(DAEMONS):
+        stores: list[ClaimBackend] = []
+        for number in range(DAEMON_COUNT):
             session = await stack.enter_async_context(
                 aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
             )
-            settings = PlatformSettings(url=platform.url, claim_shards=SHARDS)
+            settings = PlatformSettings(
+                url=platform.url, claim_shards=SHARD_COUNT
+            )
             store = ObjectStore(
                 settings=settings,
                 session=session,
-                member_count=lambda: DAEMONS,
+                member_count=lambda: DAEMON_COUNT,
             )
             if not grouped:
-                stores.append(OneObjectClaims(store=store))
+                stores.append(PerObjectClaimBackend(store=store))
                 continue
             claims = ClaimStore(
                 store=store,
@@ -204,7 +206,7 @@
         open_claim_stores(platform, grouped=grouped) as stores,
     ):
         platform.delay_s = STORE_DELAY_S
-        load = Load()
+        load = BookingLoad()
         took_s = await load.run(stores, rate, seconds)
         claimed = len(load.latencies_s)
         values = sorted(load.latencies_s) or [0.0]
@@ -223,7 +225,7 @@
 async def run_all(seconds: float) -> None:
     """Prints a row for each rate and kind."""
     print(_HEAD)
-    for rate in RATES:
+    for rate in RATES_PER_S:
         for grouped in (False, True):
             print(await measure(rate, seconds, grouped=grouped), flush=True)
 
@@ -241,4 +243,4 @@
     fire.Fire(main)
 
 
-__all__ = ["OneObjectClaims", "main", "measure"]
+__all__ = ["PerObjectClaimBackend", "main", "measure"]
--- a/src/auburnswitch/experiments/control_cost.py
+++ b/src/auburnswitch/experiments/control_cost.py
@@ -26,7 +26,7 @@
 
 SETTLE_S: Final = 20.0
 MEASURE_S: Final = 10.0
-DAEMONS: Final = (3, 9, 27)
+DAEMON_COUNTS: Final = (3, 9, 27)
 
 
 class FrameMeter:
@@ -84,7 +84,7 @@
     meter.install()
     print("| Daemons | Frames/s | Bytes/s | Core share |")
     print("|---|---|---|---|")
-    for number in daemons or DAEMONS:
+    for number in daemons or DAEMON_COUNTS:
         frames, sent, core = run_virtual(lambda n=number: measure(n, meter))
         print(f"| {number} | {frames:.1f} | {sent:.0f} | {core:.2%} |")
 
--- a/src/auburnswitch/experiments/demo.py
+++ b/src/auburnswitch/experiments/demo.py
@@ -24,10 +24,10 @@
 
 SHORT_PROMPT = "Is there a free slot for a cut this afternoon? " * 90
 LONG_PROMPT = "Season review, week by week. " * 14_000
-AUTHORIZATION = {"Authorization": f"Bearer {CALLER_KEY}"}
+AUTHORIZATION_HEADERS = {"Authorization": f"Bearer {CALLER_KEY}"}
 
 ANSWER_TOKENS = 16
-WARM_AFTER = 2  # so that a few requests warm both engines
+WARM_AFTER_REQUESTS = 2  # so that a few requests warm both engines
 
 
 async def run_demo(
@@ -43,12 +43,12 @@
     """
     show("Starting a platform, two engines, a booking service, three daemons")
     options = FleetOptions(
-        engine=EngineOptions(warm_after=WARM_AFTER),
-        endpoint={"warm_after": WARM_AFTER},
+        engine=EngineOptions(warm_after=WARM_AFTER_REQUESTS),
+        endpoint={"warm_after": WARM_AFTER_REQUESTS},
         connector=connector,
     )
     async with open_fleet(options) as fleet:
-        for _ in range(2 * options.engines * WARM_AFTER):
+        for _ in range(2 * options.engines * WARM_AFTER_REQUESTS):
             await show_completion(fleet, "a short prompt", SHORT_PROMPT, show)
         await show_completion(fleet, "a long prompt", LONG_PROMPT, show)
         await show_booking(fleet, show)
@@ -62,7 +62,9 @@
     """Streams one completion and shows its times."""
     body = {"model": MODEL, "prompt": prompt, "max_tokens": ANSWER_TOKENS}
     url = fleet.caller_url("entry-0")
-    outcome = await stream_completion(fleet.session, url, body, AUTHORIZATION)
+    outcome = await stream_completion(
+        fleet.session, url, body, AUTHORIZATION_HEADERS
+    )
     if outcome.first_token_s is None:
         show(f"{label}: {outcome.result}, ran: {outcome.ran}")
         return
@@ -80,7 +82,8 @@
         async with fleet.session.post(
             f"{url}/services/{PLAIN_SERVICE}/bookings",
             json={"customer": "walk-in", "slot": "15:30"},
-            headers=AUTHORIZATION | {"Idempotency-Key": "counter-7-0001"},
+            headers=AUTHORIZATION_HEADERS
+            | {"Idempotency-Key": "counter-7-0001"},
         ) as response:
             body = (await response.text()).strip()
         replay = response.headers.get("X-Idempotent-Replay", "false")
@@ -100,7 +103,7 @@
         ticket = fleet.ticket([fleet.zone_change(zone, out=out)], note)
         started_at = monotonic_s()
         await fleet.apply(ticket)
-        await fleet.wait_in_force()
+        await fleet.wait_until_converged()
         took_s = monotonic_s() - started_at
         show(
             f"zone {zone} {note}: ticket {ticket.number} in force in"
--- a/src/auburnswitch/experiments/repeatable.py
+++ b/src/auburnswitch/experiments/determinism.py
@@ -17,12 +17,12 @@
 
 
 @contextlib.contextmanager
-def repeatable(seed: int) -> Iterator[None]:
+def seeded_ids_and_clock(seed: int) -> Iterator[None]:
     """Draws ids from a seed and derives wall-clock time from virtual time."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
 
     def token_hex(size: int = 32) -> str:
-        return chance.randbytes(size).hex()
+        return rng.randbytes(size).hex()
 
     with (
         mock.patch.object(secrets, "token_hex", token_hex),
@@ -38,4 +38,4 @@
         return EPOCH_S  # the loop ends
 
 
-__all__ = ["repeatable"]
+__all__ = ["seeded_ids_and_clock"]
--- a/src/auburnswitch/experiments/entry_demo.py
+++ b/src/auburnswitch/experiments/entry_demo.py
@@ -9,10 +9,10 @@
 from auburnswitch.experiments.entry_caller import StreamRequest, stream_events
 from auburnswitch.experiments.installation import (
     CALLER_KEYS,
-    SmallInstallation,
+    LoopbackInstallation,
     make_config,
     open_installation,
-    until,
+    wait_until,
 )
 from auburnswitch.standins.operators import put_config
 from auburnswitch.standins.runner import Fault
@@ -22,8 +22,8 @@
 
 SHORT_TOKENS: Final = 5_000
 LONG_TOKENS: Final = 45_000
-JOINT_TOKENS: Final = 80_000  # more than one engine's memory
-HOPELESS_TOKENS: Final = 900_000  # more than all engines' memory
+MULTI_ENGINE_TOKENS: Final = 80_000  # more than one engine's memory
+INFEASIBLE_TOKENS: Final = 900_000  # more than all engines' memory
 ANSWER_TOKENS: Final = 50
 
 
@@ -38,10 +38,10 @@
         await _show_stream(fleet, "a short prompt", SHORT_TOKENS, show)
         await _show_stream(fleet, "a long prompt", LONG_TOKENS, show)
         await _show_stream(
-            fleet, "a prompt over one memory", JOINT_TOKENS, show
+            fleet, "a prompt over one memory", MULTI_ENGINE_TOKENS, show
         )
         await _show_stream(
-            fleet, "a prompt over all memory", HOPELESS_TOKENS, show
+            fleet, "a prompt over all memory", INFEASIBLE_TOKENS, show
         )
         await _show_resumed(fleet, show)
         await _show_booking(fleet, show)
@@ -50,7 +50,7 @@
 
 
 async def _show_stream(
-    fleet: SmallInstallation,
+    fleet: LoopbackInstallation,
     label: str,
     tokens: int,
     show: Callable[[str], None],
@@ -83,7 +83,7 @@
 
 
 async def _show_resumed(
-    fleet: SmallInstallation, show: Callable[[str], None]
+    fleet: LoopbackInstallation, show: Callable[[str], None]
 ) -> None:
     for name, runner in fleet.runners.items():
         if name.startswith("engine"):
@@ -95,7 +95,7 @@
 
 
 async def _show_booking(
-    fleet: SmallInstallation, show: Callable[[str], None]
+    fleet: LoopbackInstallation, show: Callable[[str], None]
 ) -> None:
     for runner in fleet.runners.values():
         runner.faults.clear()
@@ -110,7 +110,7 @@
 
 
 async def _show_revoked_key(
-    fleet: SmallInstallation, show: Callable[[str], None]
+    fleet: LoopbackInstallation, show: Callable[[str], None]
 ) -> None:
     for runner in fleet.runners.values():
         runner.faults.clear()
@@ -120,7 +120,7 @@
     put_config(fleet.store, make_config(2, keys=CALLER_KEYS[:1]))
     await asyncio.gather(
         *(
-            until(lambda d=daemon: d.installation.config_version == 2)
+            wait_until(lambda d=daemon: d.installation.config_version == 2)
             for daemon in fleet.daemons
         )
     )
--- a/src/auburnswitch/experiments/failures.py
+++ b/src/auburnswitch/experiments/failures.py
@@ -6,18 +6,18 @@
 import logging
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.experiments.parts import PART
+from auburnswitch.experiments.process_context import PROCESS_NAME
 from auburnswitch.observe.logs import LOGGER
 from auburnswitch.schema.events import EventId
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-FAULTS: Final = (EventId.TASK_FAILED, EventId.INVARIANT_VIOLATED)
-DETAILS: Final = ("task", "error", "invariant", "details")
+FAILURE_EVENTS: Final = (EventId.TASK_FAILED, EventId.INVARIANT_VIOLATED)
+DETAIL_FIELDS: Final = ("task", "error", "invariant", "details")
 
 
-class FailureHandler(logging.Handler):
+class FailureLogHandler(logging.Handler):
     """Keeps unexpected errors and violated invariants.
 
     Attributes:
@@ -31,21 +31,21 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Keeps one event."""
         event = getattr(record, "event", 0)
-        if event not in FAULTS:
+        if event not in FAILURE_EVENTS:
             return
         details = {
             name: getattr(record, name)
-            for name in DETAILS
+            for name in DETAIL_FIELDS
             if hasattr(record, name)
         }
         name = EventId(event).name.lower()
-        self.problems.append(f"{name}: {PART.get('')} {details}")
+        self.problems.append(f"{name}: {PROCESS_NAME.get('')} {details}")
 
 
 @contextlib.contextmanager
-def collect_failures() -> Iterator[FailureHandler]:
+def collect_failures() -> Iterator[FailureLogHandler]:
     """Yields a handler that collects until the context ends."""
-    handler = FailureHandler()
+    handler = FailureLogHandler()
     LOGGER.addHandler(handler)
     try:
         yield handler
@@ -53,4 +53,4 @@
         LOGGER.removeHandler(handler)
 
 
-__all__ = ["FailureHandler", "collect_failures"]
+__all__ = ["FailureLogHandler", "collect_failures"]
--- a/src/auburnswitch/experiments/fleet.py
+++ b/src/auburnswitch/experiments/fleet.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from auburnswitch.daemon import Daemon, open_daemon
-from auburnswitch.experiments.running import RunningDaemon
+from auburnswitch.experiments.running_daemon import RunningDaemon
 from auburnswitch.schema.base import to_json
 from auburnswitch.schema.objects import (
     AvailabilityZone,
@@ -47,7 +47,7 @@
 ZONES: Final = ("daejeon-1", "daejeon-2", "sejong-1")
 REGION: Final = "kr-central"
 HOST: Final = "127.0.0.1"
-READY_POLL_S: Final = 0.05
+READY_POLL_INTERVAL_S: Final = 0.05
 READY_TIMEOUT_S: Final = 30.0
 
 
@@ -62,7 +62,7 @@
         zones: Availability zones, used in turn.
         engine: Options of every engine.
         endpoint: Endpoint values that differ from the defaults.
-        tune: Changes each daemon's settings before it starts.
+        customize_settings: Changes each daemon's settings before it starts.
         connector: Makes the connectors of HTTP clients.
         daemon_options: Returns further arguments of ``open_daemon`` for an
             instance.
@@ -77,7 +77,7 @@
     zones: tuple[str, ...] = ZONES
     engine: EngineOptions = field(default_factory=EngineOptions)
     endpoint: dict[str, Any] = field(default_factory=dict)
-    tune: Callable[[Settings], None] = lambda settings: None
+    customize_settings: Callable[[Settings], None] = lambda settings: None
     connector: Callable[[], aiohttp.BaseConnector] | None = None
     daemon_options: Callable[[str], dict[str, Any]] = lambda instance: {}
     strict_invariants: bool = True
@@ -104,11 +104,11 @@
 
     __slots__ = (
         "daemons",
-        "dead",
         "engines",
         "folder",
         "history",
         "incarnations",
+        "killed",
         "next_ticket",
         "options",
         "plain",
@@ -138,7 +138,7 @@
         self.plain: dict[str, PlainServiceStandIn] = {}
         self.daemons: dict[str, Daemon] = {}
         self.running: dict[str, RunningDaemon] = {}
-        self.dead: list[RunningDaemon] = []
+        self.killed: list[RunningDaemon] = []
         self.incarnations = 0
         self.next_ticket = 1
 
@@ -159,7 +159,7 @@
             )
         )
 
-    async def start_plain(self, number: int) -> None:
+    async def start_plain_service(self, number: int) -> None:
         """Starts the n-th runner of the plain service."""
         name = f"bookings-{number}"
         self.plain[name] = await self.stack.enter_async_context(
@@ -176,7 +176,7 @@
             **self.options.daemon_options(instance),
         }
         self.incarnations += 1
-        running = RunningDaemon(part=f"{instance}#{self.incarnations}")
+        running = RunningDaemon(process_name=f"{instance}#{self.incarnations}")
         await running.start(
             open_daemon(self.daemon_settings(number), **options)
         )
@@ -195,23 +195,23 @@
         instance = f"entry-{number}"
         del self.daemons[instance]
         running = self.running.pop(instance)
-        _freezable_loop().kill(running.part)
-        self.dead.append(running)
+        _freezable_loop().kill(running.process_name)
+        self.killed.append(running)
 
     def freeze_daemon(self, number: int) -> None:
         """Stops the n-th daemon as SIGSTOP does; needs a `FreezableLoop`."""
-        _freezable_loop().freeze(self.running[f"entry-{number}"].part)
+        _freezable_loop().freeze(self.running[f"entry-{number}"].process_name)
 
     def thaw_daemon(self, number: int) -> None:
         """Lets a frozen daemon go on."""
-        _freezable_loop().thaw(self.running[f"entry-{number}"].part)
+        _freezable_loop().thaw(self.running[f"entry-{number}"].process_name)
 
     async def close(self) -> None:
         """Ends all daemons, the killed ones included."""
-        for running in self.dead:
-            _freezable_loop().thaw(running.part)
-        for running in [*self.running.values(), *self.dead]:
-            await running.abandon()
+        for running in self.killed:
+            _freezable_loop().thaw(running.process_name)
+        for running in [*self.running.values(), *self.killed]:
+            await running.abort()
 
     def daemon_settings(self, number: int) -> Settings:
         """Returns the settings of the n-th daemon."""
@@ -226,7 +226,7 @@
         sections = (settings.callers, settings.operators, settings.peers)
         for offset, section in enumerate(sections):
             section.port = base + 3 * number + offset if base else 0
-        self.options.tune(settings)
+        self.options.customize_settings(settings)
         return settings
 
     def ticket(self, changes: list[Change], note: str = "") -> Ticket:
@@ -293,7 +293,7 @@
         )
         return Change(kind=ObjectKind.ENDPOINT, name=name, endpoint=endpoint)
 
-    async def wait_in_force(self) -> None:
+    async def wait_until_converged(self) -> None:
         """Waits until all daemons have one configuration and are ready.
 
         Raises:
@@ -301,7 +301,7 @@
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not self._in_force():
-                await asyncio.sleep(READY_POLL_S)
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def _in_force(self) -> bool:
         daemons = self.daemons.values()
@@ -346,12 +346,12 @@
         for number in range(options.engines):
             await fleet.start_engine(number)
         for number in range(options.plain_services):
-            await fleet.start_plain(number)
+            await fleet.start_plain_service(number)
         try:
             for number in range(options.daemons):
                 await fleet.start_daemon(number)
             await fleet.apply(fleet.ticket(fleet.initial_changes()))
-            await fleet.wait_in_force()
+            await fleet.wait_until_converged()
             yield fleet
         finally:
             await fleet.close()
--- a/src/auburnswitch/experiments/installation.py
+++ b/src/auburnswitch/experiments/installation.py
@@ -31,7 +31,7 @@
 
 CALLER_KEYS: Final = ("key-1", "key-2")
 READY_TIMEOUT_S: Final = 3.0
-POLL_S: Final = 0.01
+POLL_INTERVAL_S: Final = 0.01
 WATCH_WAIT_S: Final = 0.5
 
 _request_ids = itertools.count(1)
@@ -64,7 +64,7 @@
     return operators.make_config(version, list(keys), **more)
 
 
-class SmallInstallation:
+class LoopbackInstallation:
     """A running installation.
 
     Attributes:
@@ -99,7 +99,7 @@
         self.addresses: dict[str, str] = {}
         self.daemons: list[EntryDaemon] = []
 
-    def put_entry(self, endpoint: str, service: str, **more: Any) -> None:
+    def put_endpoint(self, endpoint: str, service: str, **more: Any) -> None:
         """Writes an endpoint's entry into the store."""
         operators.put_endpoint(
             self.store, endpoint, service, self.addresses[endpoint], **more
@@ -153,45 +153,45 @@
 async def open_installation(
     *,
     engines: int = 2,
-    desks: int = 2,
+    plain_services: int = 2,
     daemons: int = 1,
-    first_config: dict[str, Any] | None = None,
-) -> AsyncIterator[SmallInstallation]:
+    initial_config: dict[str, Any] | None = None,
+) -> AsyncIterator[LoopbackInstallation]:
     """Runs an installation until the context ends; its daemons are ready.
 
     Args:
         engines: Model engines.
-        desks: Endpoints of a plain service.
+        plain_services: Endpoints of a plain service.
         daemons: Entry daemons.
-        first_config: Configuration at the start, None for a usual one.
+        initial_config: Configuration at the start, None for a usual one.
     """
     store = InstallationStore()
     async with contextlib.AsyncExitStack() as stack:
         listener = await stack.enter_async_context(
             open_http_server(store.build(), host="127.0.0.1", port=0)
         )
-        fleet = SmallInstallation(
+        fleet = LoopbackInstallation(
             store=store,
             session=await stack.enter_async_context(aiohttp.ClientSession()),
             store_address=f"127.0.0.1:{listener.port}",
         )
         services = {f"engine-{n}": "engines" for n in range(engines)}
-        services |= {f"desk-{n}": "desk" for n in range(desks)}
+        services |= {f"desk-{n}": "desk" for n in range(plain_services)}
         for name, service in services.items():
             runner = fleet.runners[name] = Runner(runner_id=name)
             server = await stack.enter_async_context(
                 open_http_server(runner, host="127.0.0.1", port=0)
             )
             fleet.addresses[name] = f"127.0.0.1:{server.port}"
-            fleet.put_entry(name, service)
-        operators.put_config(store, first_config or make_config())
+            fleet.put_endpoint(name, service)
+        operators.put_config(store, initial_config or make_config())
         for number in range(daemons):
             settings = entry_settings(f"entry-{number}", fleet.store_address)
             daemon = await stack.enter_async_context(
                 open_entry_daemon(settings)
             )
             fleet.daemons.append(daemon)
-        await until(lambda: all(daemon.ready for daemon in fleet.daemons))
+        await wait_until(lambda: all(daemon.ready for daemon in fleet.daemons))
         yield fleet
 
 
@@ -209,7 +209,7 @@
     )
 
 
-async def until(
+async def wait_until(
     condition: Callable[[], bool], timeout_s: float = READY_TIMEOUT_S
 ) -> None:
     """Waits until a condition holds.
@@ -219,15 +219,15 @@
     """
     async with asyncio.timeout(timeout_s):
         while not condition():
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 __all__ = [
     "CALLER_KEYS",
     "CallResult",
-    "SmallInstallation",
+    "LoopbackInstallation",
     "entry_settings",
     "make_config",
     "open_installation",
-    "until",
+    "wait_until",
 ]
--- a/src/auburnswitch/experiments/load.py
+++ b/src/auburnswitch/experiments/load.py
@@ -125,7 +125,7 @@
     seconds = options.requests / max(options.rate_per_s, 1e-9)
     if seconds > MAX_SECONDS:
         raise ValueError(f"the run would take more than {MAX_SECONDS:.0f} s")
-    chance = random.Random(options.seed)
+    rng = random.Random(options.seed)
     report = LoadReport()
     started_at = monotonic_s()
     connector = aiohttp.TCPConnector(limit=0)
@@ -135,12 +135,12 @@
         asyncio.TaskGroup() as group,
     ):
         for number in range(options.requests):
-            part = _choose(options.mix, chance)
-            tokens = chance.randint(part.min_tokens, part.max_tokens)
+            part = _choose(options.mix, rng)
+            tokens = rng.randint(part.min_tokens, part.max_tokens)
             url = options.urls[number % len(options.urls)]
-            call = _call(session, url, options, tokens, chance)
+            call = _call(session, url, options, tokens, rng)
             group.create_task(_note(call, part, report))
-            await asyncio.sleep(chance.expovariate(options.rate_per_s))
+            await asyncio.sleep(rng.expovariate(options.rate_per_s))
     report.took_s = monotonic_s() - started_at
     return report
 
@@ -150,13 +150,13 @@
     url: str,
     options: LoadOptions,
     tokens: int,
-    chance: random.Random,
+    rng: random.Random,
 ) -> Coroutine[Any, Any, CallOutcome]:
     match options.target:
         case ModelTarget(model=model):
             body = {
                 "model": model,
-                "prompt": _prompt(tokens, chance),
+                "prompt": _prompt(tokens, rng),
                 "max_tokens": options.answer_tokens,
             }
             headers = {"Authorization": f"Bearer {options.caller_key}"}
@@ -180,14 +180,14 @@
     report.outcomes.setdefault(part.name, []).append(await call)
 
 
-def _choose(mix: tuple[LengthShare, ...], chance: random.Random) -> LengthShare:
-    return chance.choices(mix, [part.share for part in mix])[0]
+def _choose(mix: tuple[LengthShare, ...], rng: random.Random) -> LengthShare:
+    return rng.choices(mix, [part.share for part in mix])[0]
 
 
-def _prompt(tokens: int, chance: random.Random) -> str:
-    first = f"{chance.getrandbits(64):016x} "  # no two prompts share a prefix
+def _prompt(tokens: int, rng: random.Random) -> str:
+    first = f"{rng.getrandbits(64):016x} "  # no two prompts share a prefix
     size_bytes = tokens * BYTES_PER_TOKEN - len(first)
-    word = chance.choice(WORDS) + " "
+    word = rng.choice(WORDS) + " "
     return first + (word * (size_bytes // len(word) + 1))[:size_bytes]
 
 
--- a/src/auburnswitch/experiments/oracle.py
+++ b/src/auburnswitch/experiments/oracle.py
@@ -18,8 +18,8 @@
     from auburnswitch.routing.request import RoutedRequest
     from auburnswitch.standins.engine import EngineStandIn
 
-RETRY_S: Final = 0.01
-TRANSIT_S: Final = 0.04
+RETRY_INTERVAL_S: Final = 0.01
+MAX_TRANSIT_S: Final = 0.04
 SHORT_MEMORY_SHARE: Final = 0.1
 
 
@@ -72,12 +72,12 @@
                 return self.reservations.hold_without_grant(
                     work, request.deadline_at
                 )
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return refusal(ResultCode.DEADLINE_EXCEEDED)
 
     def _in_transit(self, name: str) -> list[RoutedRequest]:
         arrived = {job.request_id for job in self.engines[name].batch.jobs()}
-        oldest = monotonic_s() - TRANSIT_S
+        oldest = monotonic_s() - MAX_TRANSIT_S
         waiting = self.pending[name]
         for request_id, (placed_at, _) in list(waiting.items()):
             if request_id in arrived or placed_at < oldest:
--- a/src/auburnswitch/experiments/placement.py
+++ b/src/auburnswitch/experiments/placement.py
@@ -18,7 +18,7 @@
 import fire
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.experiments.arrivals import Arrival, make_arrivals
+from auburnswitch.experiments.arrivals import Arrival, generate_arrivals
 from auburnswitch.experiments.caller import stream_completion
 from auburnswitch.experiments.fleet import (
     CALLER_KEY,
@@ -29,8 +29,8 @@
 )
 from auburnswitch.experiments.oracle import OraclePlacer
 from auburnswitch.experiments.report import (
+    RequestSample,
     RunSummary,
-    Sample,
     comparison_lines,
     summarize_lengths,
     table_lines,
@@ -41,18 +41,18 @@
 if TYPE_CHECKING:
     from auburnswitch.schema.settings import Settings
 
-ENGINES: Final = 20
-DAEMONS: Final = 9
+ENGINE_COUNT: Final = 20
+DAEMON_COUNT: Final = 9
 ANSWER_TOKENS: Final = 4
 PREFILL_TOKENS_PER_S: Final = 20_000
 RAMP_S: Final = 30.0
-WARM_AFTER: Final = 2
+WARM_AFTER_REQUESTS: Final = 2
 WARM_UP_TOKENS: Final = 1_000
-WARM_UP_LIMIT_S: Final = 120.0
+WARM_UP_TIMEOUT_S: Final = 120.0
 BASELINE_LOAD_INTERVAL_S: Final = 0.5  # reports are a second old on average
 POLICIES: Final = ("two-choices", "owner", "oracle")
 LOADS: Final = (0.5, 0.9)
-AUTHORIZATION: Final = {"Authorization": f"Bearer {CALLER_KEY}"}
+AUTHORIZATION_HEADERS: Final = {"Authorization": f"Bearer {CALLER_KEY}"}
 
 
 @dataclass(slots=True, kw_only=True)
@@ -89,15 +89,17 @@
 
 
 async def _run(options: RunOptions) -> RunSummary:
-    arrivals = make_arrivals(
+    arrivals = generate_arrivals(
         seed=options.seed,
         load=options.load,
-        capacity=ENGINES * PREFILL_TOKENS_PER_S,
-        daemons=DAEMONS,
+        capacity_tokens_per_s=ENGINE_COUNT * PREFILL_TOKENS_PER_S,
+        daemons=DAEMON_COUNT,
         duration_s=options.ramp_s + options.duration_s,
     )
     if not options.shared:
-        arrivals = [a for a in arrivals if a.length is not LengthClass.LONG]
+        arrivals = [
+            a for a in arrivals if a.length_class is not LengthClass.LONG
+        ]
     async with open_fleet(fleet_options(options.policy)) as fleet:
         await warm_up(fleet)
         if options.policy == "oracle":
@@ -107,7 +109,7 @@
             policy=options.policy, load=options.load, shared=options.shared
         )
         summary.lengths = summarize_lengths(
-            [sample for sample in samples if sample.at_s >= options.ramp_s]
+            [sample for sample in samples if sample.offset_s >= options.ramp_s]
         )
     return summary
 
@@ -117,26 +119,26 @@
     # a development dependency, which daemons and tools do without
     from auburnswitch.experiments.virtual_time import SimulatedConnector
 
-    def tune(settings: Settings) -> None:
+    def customize_settings(settings: Settings) -> None:
         if policy == "two-choices":
             settings.routing.policy = policy
             settings.endpoints.load_interval_s = BASELINE_LOAD_INTERVAL_S
 
     engine = EngineOptions(
         starts_warm=True,
-        warm_after=WARM_AFTER,
+        warm_after=WARM_AFTER_REQUESTS,
         prefill_tokens_per_second=PREFILL_TOKENS_PER_S,
     )
     return FleetOptions(
-        engines=ENGINES,
-        daemons=DAEMONS,
+        engines=ENGINE_COUNT,
+        daemons=DAEMON_COUNT,
         plain_services=0,
         engine=engine,
         endpoint={
-            "warm_after": WARM_AFTER,
+            "warm_after": WARM_AFTER_REQUESTS,
             "prefill_tokens_per_second": PREFILL_TOKENS_PER_S,
         },
-        tune=tune,
+        customize_settings=customize_settings,
         connector=SimulatedConnector,
     )
 
@@ -148,15 +150,15 @@
         TimeoutError: It took too long.
     """
     number = 0
-    async with asyncio.timeout(WARM_UP_LIMIT_S):
+    async with asyncio.timeout(WARM_UP_TIMEOUT_S):
         while not _all_warm(fleet):
             batch = []
-            for entry in range(len(fleet.daemons)):
+            for daemon_number in range(len(fleet.daemons)):
                 arrival = Arrival(
-                    at_s=0,
-                    length=LengthClass.SHORT,
+                    offset_s=0,
+                    length_class=LengthClass.SHORT,
                     tokens=WARM_UP_TOKENS,
-                    entry=entry,
+                    daemon_number=daemon_number,
                     name=f"warm-up/{number}",
                 )
                 number += 1
@@ -183,33 +185,37 @@
         )
 
 
-async def send_all(fleet: Fleet, arrivals: list[Arrival]) -> list[Sample]:
+async def send_all(
+    fleet: Fleet, arrivals: list[Arrival]
+) -> list[RequestSample]:
     """Sends every request at its time and waits for all answers."""
     started_at = monotonic_s()
     async with asyncio.TaskGroup() as group:
         tasks = []
         for arrival in arrivals:
-            await asyncio.sleep(started_at + arrival.at_s - monotonic_s())
+            await asyncio.sleep(started_at + arrival.offset_s - monotonic_s())
             tasks.append(group.create_task(send(fleet, arrival, started_at)))
     return [task.result() for task in tasks]
 
 
-async def send(fleet: Fleet, arrival: Arrival, started_at: float) -> Sample:
+async def send(
+    fleet: Fleet, arrival: Arrival, started_at: float
+) -> RequestSample:
     """Sends one request and returns what its caller saw."""
     sent_at = monotonic_s()
     outcome = await stream_completion(
         fleet.session,
-        fleet.caller_url(f"entry-{arrival.entry}"),
+        fleet.caller_url(f"entry-{arrival.daemon_number}"),
         {
             "model": MODEL,
             "prompt": arrival.prompt(),
             "max_tokens": ANSWER_TOKENS,
         },
-        AUTHORIZATION,
+        AUTHORIZATION_HEADERS,
     )
-    return Sample(
-        at_s=sent_at - started_at,
-        length=arrival.length,
+    return RequestSample(
+        offset_s=sent_at - started_at,
+        length_class=arrival.length_class,
         result=outcome.result,
         first_token_s=outcome.first_token_s,
     )
@@ -273,8 +279,8 @@
 
 
 __all__ = [
-    "DAEMONS",
-    "ENGINES",
+    "DAEMON_COUNT",
+    "ENGINE_COUNT",
     "PREFILL_TOKENS_PER_S",
     "RAMP_S",
     "RunOptions",
--- a/src/auburnswitch/experiments/parts.py
+++ b/src/auburnswitch/experiments/process_context.py
@@ -5,8 +5,8 @@
 import contextvars
 from typing import Final
 
-PART: Final[contextvars.ContextVar[str]] = contextvars.ContextVar(
+PROCESS_NAME: Final[contextvars.ContextVar[str]] = contextvars.ContextVar(
     "part", default=""
 )
 
-__all__ = ["PART"]
+__all__ = ["PROCESS_NAME"]
--- a/src/auburnswitch/experiments/random_run.py
+++ b/src/auburnswitch/experiments/random_run.py
@@ -18,9 +18,9 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments.actions import draw_action
-from auburnswitch.experiments.chaos import open_chaos
+from auburnswitch.experiments.chaos import open_chaos_run
 from auburnswitch.experiments.failures import collect_failures
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from auburnswitch.experiments.shrinking import shrink
 from auburnswitch.experiments.virtual_time import (
     SimulatedConnector,
@@ -34,7 +34,7 @@
     from auburnswitch.experiments.chaos import ChaosRun
 
 ACTION_INTERVAL_S: Final = 0.05
-SHRINK_WALL_S: Final = 300.0
+SHRINK_TIMEOUT_S: Final = 300.0
 SECONDS_PER_HOUR: Final = 3600
 
 
@@ -88,9 +88,9 @@
 
 def draw_actions(seed: int, steps: int | None = None) -> Iterator[Action]:
     """Yields random actions, without end if no number is given."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     while steps is None or steps > 0:
-        yield draw_action(chance)
+        yield draw_action(rng)
         steps = None if steps is None else steps - 1
 
 
@@ -98,7 +98,7 @@
     report = RunReport()
     started_at = time.perf_counter()
     with collect_failures() as failures:
-        async with open_chaos(connector=SimulatedConnector) as chaos:
+        async with open_chaos_run(connector=SimulatedConnector) as chaos:
             for action in actions:
                 if monotonic_s() >= limit_s:
                     break
@@ -108,7 +108,7 @@
             violations = await chaos.settle()
             report.outcomes = _count_outcomes(chaos)
             report.problems = [
-                f"{violation.rule.name.lower()}: {violation.detail}"
+                f"{violation.invariant.name.lower()}: {violation.detail}"
                 for violation in violations
             ]
             report.problems += failures.problems
@@ -149,11 +149,11 @@
 
 
 def _print_shortest(actions: list[Action], seed: int) -> None:
-    stop_at = time.perf_counter() + SHRINK_WALL_S
+    stop_at = time.perf_counter() + SHRINK_TIMEOUT_S
     shortest = shrink(
         actions,
         fails=lambda shorter: bool(run_actions(shorter, seed=seed).problems),
-        may_go_on=lambda: time.perf_counter() < stop_at,
+        has_time_left=lambda: time.perf_counter() < stop_at,
     )
     print(f"shortest failing list found: {len(shortest)} actions")
     for action in shortest:
--- a/src/auburnswitch/experiments/calls.py
+++ b/src/auburnswitch/experiments/recording_caller.py
@@ -41,7 +41,7 @@
     outcome: CallOutcome | None = None
 
 
-class Caller:
+class RecordingCaller:
     """Sends calls and keeps a record of each.
 
     Attributes:
@@ -152,4 +152,4 @@
         return f"http_{response.status}", "yes"
 
 
-__all__ = ["CallRecord", "Caller"]
+__all__ = ["CallRecord", "RecordingCaller"]
--- a/src/auburnswitch/experiments/report.py
+++ b/src/auburnswitch/experiments/report.py
@@ -11,25 +11,25 @@
 
 from auburnswitch.schema.peers import LengthClass
 
-UNITS_PER_S: Final = 10_000
-LONGEST_S: Final = 7200
-DIGITS: Final = 3
+HISTOGRAM_UNITS_PER_S: Final = 10_000
+MAX_RECORDED_S: Final = 7200
+SIGNIFICANT_DIGITS: Final = 3
 PERCENTILES: Final = (50.0, 95.0, 99.0)
 
 
 @dataclass(slots=True, kw_only=True)
-class Sample:
+class RequestSample:
     """What one caller saw.
 
     Attributes:
-        at_s: When its request was sent, in seconds from the start.
-        length: Length class of the prompt.
+        offset_s: When its request was sent, in seconds from the start.
+        length_class: Length class of the prompt.
         result: Name of the result code.
         first_token_s: Time to first token, in seconds; None without one.
     """
 
-    at_s: float
-    length: LengthClass
+    offset_s: float
+    length_class: LengthClass
     result: str
     first_token_s: float | None
 
@@ -78,26 +78,30 @@
 
 def percentiles_s(times_s: list[float]) -> list[float]:
     """Returns the 50th, 95th and 99th percentile, in seconds."""
-    histogram = HdrHistogram(1, LONGEST_S * UNITS_PER_S, DIGITS)
+    histogram = HdrHistogram(
+        1, MAX_RECORDED_S * HISTOGRAM_UNITS_PER_S, SIGNIFICANT_DIGITS
+    )
     for time_s in times_s:
-        histogram.record_value(max(1, round(time_s * UNITS_PER_S)))
+        histogram.record_value(max(1, round(time_s * HISTOGRAM_UNITS_PER_S)))
     return [
-        histogram.get_value_at_percentile(percentile) / UNITS_PER_S
+        histogram.get_value_at_percentile(percentile) / HISTOGRAM_UNITS_PER_S
         for percentile in PERCENTILES
     ]
 
 
-def summarize_lengths(samples: list[Sample]) -> dict[str, LengthSummary]:
+def summarize_lengths(samples: list[RequestSample]) -> dict[str, LengthSummary]:
     """Returns the summary of each length class that occurs."""
     summaries = {}
-    for length in LengthClass:
-        own = [sample for sample in samples if sample.length is length]
+    for length_class in LengthClass:
+        own = [
+            sample for sample in samples if sample.length_class is length_class
+        ]
         if not own:
             continue
         times_s = [s.first_token_s for s in own if s.first_token_s is not None]
         p50_s, p95_s, p99_s = percentiles_s(times_s)
         outcomes = collections.Counter(sample.result for sample in own)
-        summaries[length.name.lower()] = LengthSummary(
+        summaries[length_class.name.lower()] = LengthSummary(
             p50_s=p50_s, p95_s=p95_s, p99_s=p99_s, outcomes=dict(outcomes)
         )
     return summaries
@@ -170,7 +174,7 @@
 __all__ = [
     "LengthSummary",
     "RunSummary",
-    "Sample",
+    "RequestSample",
     "comparison_lines",
     "percentiles_s",
     "summarize_lengths",
--- a/src/auburnswitch/experiments/running.py
+++ b/src/auburnswitch/experiments/running_daemon.py
@@ -6,7 +6,7 @@
 import contextvars
 from typing import TYPE_CHECKING
 
-from auburnswitch.experiments.parts import PART
+from auburnswitch.experiments.process_context import PROCESS_NAME
 
 if TYPE_CHECKING:
     import contextlib
@@ -18,14 +18,14 @@
     """A daemon in a task of its own.
 
     Attributes:
-        part: Names the daemon's tasks, so that they can be frozen.
+        process_name: Names the daemon's tasks, so that they can be frozen.
         daemon: The daemon, once it has started.
     """
 
-    __slots__ = ("daemon", "graceful", "part", "stopping", "task")
+    __slots__ = ("daemon", "graceful", "process_name", "stopping", "task")
 
-    def __init__(self, *, part: str) -> None:
-        self.part = part
+    def __init__(self, *, process_name: str) -> None:
+        self.process_name = process_name
         self.graceful = False
         self.stopping = asyncio.Event()
 
@@ -35,7 +35,7 @@
         """Starts the daemon and waits until its listeners are open."""
         started = asyncio.get_running_loop().create_future()
         context = contextvars.copy_context()
-        context.run(PART.set, self.part)
+        context.run(PROCESS_NAME.set, self.process_name)
         self.task = asyncio.create_task(
             self._run(opening, started), context=context
         )
@@ -65,7 +65,7 @@
         self.stopping.set()
         await self.task
 
-    async def abandon(self) -> None:
+    async def abort(self) -> None:
         """Ends the daemon, whatever state it is in."""
         _abort(self.daemon)
         self.task.cancel()
--- a/src/auburnswitch/experiments/shrinking.py
+++ b/src/auburnswitch/experiments/shrinking.py
@@ -14,14 +14,14 @@
     items: list[ItemT],
     *,
     fails: Callable[[list[ItemT]], bool],
-    may_go_on: Callable[[], bool],
+    has_time_left: Callable[[], bool],
 ) -> list[ItemT]:
     """Drops items greedily, large chunks first, while the rest still fails.
 
     Args:
         items: A list that fails.
         fails: Tells whether a shorter list fails too.
-        may_go_on: Tells whether there is time for a further try.
+        has_time_left: Tells whether there is time for a further try.
 
     Returns:
         The shortest failing list found.
@@ -30,7 +30,7 @@
     while size:
         start = 0
         while start < len(items):
-            if not may_go_on():
+            if not has_time_left():
                 return items
             shorter = items[:start] + items[start + size :]
             if fails(shorter):
--- a/src/auburnswitch/experiments/ticket_spread.py
+++ b/src/auburnswitch/experiments/ticket_spread.py
@@ -27,13 +27,13 @@
 
     Fault = Callable[[Fleet, int], Awaitable[None]]
 
-DAEMONS: Final = 9
-POLL_S: Final = 0.02
-LIMIT_S: Final = 60.0
-REST_S: Final = 120.0
-REST_SIZES: Final = (3, 6, 9)
+DAEMON_COUNT: Final = 9
+POLL_INTERVAL_S: Final = 0.02
+PROPAGATION_TIMEOUT_S: Final = 60.0
+IDLE_PERIOD_S: Final = 120.0
+IDLE_DAEMON_COUNTS: Final = (3, 6, 9)
 SETTLE_S: Final = 15.0
-SLOW_S: Final = 1.0
+SLOW_STORE_DELAY_S: Final = 1.0
 
 
 async def _no_fault(_: Fleet, __: int) -> None:
@@ -54,7 +54,7 @@
 
 
 async def _slow_store(fleet: Fleet, _: int) -> None:
-    fleet.platform.delay_s = SLOW_S
+    fleet.platform.delay_s = SLOW_STORE_DELAY_S
 
 
 FAULTS: Final[dict[str, tuple[Fault, bool]]] = {
@@ -74,7 +74,7 @@
         fault: What goes wrong.
         before: Whether it does so before the acceptance, not right after.
     """
-    number = random.Random(fleet.next_ticket).randrange(DAEMONS)
+    number = random.Random(fleet.next_ticket).randrange(DAEMON_COUNT)
     instance = f"entry-{number}"
     out = fleet.next_ticket % 2 == 0
     ticket = fleet.ticket([fleet.zone_change(fleet.zone(0), out=out)])
@@ -89,11 +89,11 @@
     accepted_at = monotonic_s()
     if not before or fault is _cut_and_kill:
         await fault(fleet, number)
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(PROPAGATION_TIMEOUT_S):
         while not all(
             daemon.state.has_joined(ticket) for daemon in fleet.daemons.values()
         ):
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
     took_s = monotonic_s() - accepted_at
     fleet.platform.watch_broken = False
     fleet.platform.delay_s = 0.0
@@ -103,11 +103,13 @@
     return took_s
 
 
-async def measure_spread(tickets: int) -> list[str]:
+async def measure_propagation(tickets: int) -> list[str]:
     """Returns a row for each fault."""
     rows = []
     for name, (fault, before) in FAULTS.items():
-        options = FleetOptions(daemons=DAEMONS, connector=SimulatedConnector)
+        options = FleetOptions(
+            daemons=DAEMON_COUNT, connector=SimulatedConnector
+        )
         async with open_fleet(options) as fleet:
             await asyncio.sleep(SETTLE_S)
             times = sorted(
@@ -121,16 +123,18 @@
     return rows
 
 
-async def measure_rest(daemons: int) -> str:
+async def measure_idle_calls(daemons: int) -> str:
     """Returns a row with the store calls a second at rest."""
     options = FleetOptions(daemons=daemons, connector=SimulatedConnector)
     async with open_fleet(options) as fleet:
         await asyncio.sleep(SETTLE_S * 2)
         before = fleet.platform.calls.copy()
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(IDLE_PERIOD_S)
         calls = fleet.platform.calls - before
-    total = sum(calls.values()) / REST_S
-    kinds = ", ".join(f"{k} {n / REST_S:.2f}" for k, n in sorted(calls.items()))
+    total = sum(calls.values()) / IDLE_PERIOD_S
+    kinds = ", ".join(
+        f"{k} {n / IDLE_PERIOD_S:.2f}" for k, n in sorted(calls.items())
+    )
     return f"{daemons:7}  {total:7.2f}  {total / daemons:10.3f}  {kinds}"
 
 
@@ -141,15 +145,15 @@
         tickets: Tickets applied under each fault.
     """
     print(f"{'fault':28}  median s     max s")
-    for row in run_virtual(lambda: measure_spread(min(tickets, 100))):
+    for row in run_virtual(lambda: measure_propagation(min(tickets, 100))):
         print(row, flush=True)
     print("daemons  calls/s  per daemon  kinds")
-    for daemons in REST_SIZES:
-        print(run_virtual(lambda n=daemons: measure_rest(n)), flush=True)
+    for daemons in IDLE_DAEMON_COUNTS:
+        print(run_virtual(lambda n=daemons: measure_idle_calls(n)), flush=True)
 
 
 if __name__ == "__main__":
     fire.Fire(main)
 
 
-__all__ = ["main", "measure_rest", "measure_spread"]
+__all__ = ["main", "measure_idle_calls", "measure_propagation"]
--- a/src/auburnswitch/experiments/virtual_time.py
+++ b/src/auburnswitch/experiments/virtual_time.py
@@ -13,7 +13,7 @@
 from async_solipsism.selector import Selector
 from async_solipsism.socket import Queue, Socket
 
-from auburnswitch.experiments.repeatable import repeatable
+from auburnswitch.experiments.determinism import seeded_ids_and_clock
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
@@ -39,7 +39,7 @@
         self._others: dict[int, selectors.SelectorKey] = {}
         self._held: dict[str, list[selectors.SelectorKey]] = {}
 
-    def hold(
+    def suspend(
         self, name: str, chosen: Callable[[selectors.SelectorKey], bool]
     ) -> None:
         """Stops reporting some sockets until they are released."""
@@ -49,11 +49,11 @@
             self._remove(key)
         self._held[name] = keys
 
-    def held(self, name: str) -> list[selectors.SelectorKey]:
+    def suspended_keys(self, name: str) -> list[selectors.SelectorKey]:
         """Returns the sockets that are held under a name."""
         return self._held.get(name, [])
 
-    def release(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Reports held sockets again that have not been closed."""
         for key in self._held.pop(name, []):
             if self.get_map().get(key.fileobj) is key:
@@ -209,7 +209,7 @@
     loop = loop_class()
     try:
         with (
-            repeatable(seed),
+            seeded_ids_and_clock(seed),
             asyncio.Runner(loop_factory=lambda: loop) as runner,
         ):
             return runner.run(_await(function))
--- a/src/auburnswitch/experiments/zone_move.py
+++ b/src/auburnswitch/experiments/zone_move.py
@@ -15,11 +15,11 @@
 
 import fire
 
-from auburnswitch.experiments.arrivals import make_arrivals
+from auburnswitch.experiments.arrivals import generate_arrivals
 from auburnswitch.experiments.fleet import ZONES, Fleet, open_fleet
 from auburnswitch.experiments.placement import (
-    DAEMONS,
-    ENGINES,
+    DAEMON_COUNT,
+    ENGINE_COUNT,
     PREFILL_TOKENS_PER_S,
     RAMP_S,
     fleet_options,
@@ -28,21 +28,21 @@
 )
 from auburnswitch.experiments.report import (
     LengthSummary,
-    Sample,
+    RequestSample,
     summarize_lengths,
 )
 from auburnswitch.schema.peers import LengthClass
 from auburnswitch.standins.history import HistoryKind
 
-MINUTE_S: Final = 60.0
-RESTART_S: Final = 10.0
-LEAVES_AT_S: Final = RAMP_S + MINUTE_S
-RETURNS_AT_S: Final = LEAVES_AT_S + MINUTE_S
-ENDS_AT_S: Final = RETURNS_AT_S + MINUTE_S
-PHASES: Final = {
-    "before": (RAMP_S, LEAVES_AT_S),
-    "out": (LEAVES_AT_S, RETURNS_AT_S),
-    "back": (RETURNS_AT_S, ENDS_AT_S),
+PHASE_S: Final = 60.0
+ENGINE_RESTART_S: Final = 10.0
+ZONE_OUT_AT_S: Final = RAMP_S + PHASE_S
+ZONE_BACK_AT_S: Final = ZONE_OUT_AT_S + PHASE_S
+ENDS_AT_S: Final = ZONE_BACK_AT_S + PHASE_S
+PHASE_BOUNDS_S: Final = {
+    "before": (RAMP_S, ZONE_OUT_AT_S),
+    "out": (ZONE_OUT_AT_S, ZONE_BACK_AT_S),
+    "back": (ZONE_BACK_AT_S, ENDS_AT_S),
 }
 
 
@@ -82,11 +82,11 @@
 
 
 async def _run(policy: str, load: float, seed: int) -> ZoneMoveSummary:
-    arrivals = make_arrivals(
+    arrivals = generate_arrivals(
         seed=seed,
         load=load,
-        capacity=ENGINES * PREFILL_TOKENS_PER_S,
-        daemons=DAEMONS,
+        capacity_tokens_per_s=ENGINE_COUNT * PREFILL_TOKENS_PER_S,
+        daemons=DAEMON_COUNT,
         duration_s=ENDS_AT_S,
     )
     async with open_fleet(fleet_options(policy)) as fleet:
@@ -100,14 +100,14 @@
 
 
 async def _move_zone(fleet: Fleet) -> None:
-    await asyncio.sleep(LEAVES_AT_S)
+    await asyncio.sleep(ZONE_OUT_AT_S)
     change = fleet.zone_change(ZONES[0], out=True)
     await fleet.apply(fleet.ticket([change], "the zone leaves"))
-    await asyncio.sleep(RETURNS_AT_S - LEAVES_AT_S - RESTART_S)
+    await asyncio.sleep(ZONE_BACK_AT_S - ZONE_OUT_AT_S - ENGINE_RESTART_S)
     for number, engine in enumerate(fleet.engines.values()):
         if fleet.zone(number) == ZONES[0]:
             engine.crash("restart")  # it returns cold
-    await asyncio.sleep(RESTART_S)
+    await asyncio.sleep(ENGINE_RESTART_S)
     change = fleet.zone_change(ZONES[0])
     await fleet.apply(fleet.ticket([change], "the zone returns"))
 
@@ -116,12 +116,12 @@
     fleet: Fleet,
     policy: str,
     load: float,
-    samples: list[Sample],
+    samples: list[RequestSample],
     started_at: float,
 ) -> ZoneMoveSummary:
     summary = ZoneMoveSummary(policy=policy, load=load)
-    for name, (begin_s, end_s) in PHASES.items():
-        own = [s for s in samples if begin_s <= s.at_s < end_s]
+    for name, (begin_s, end_s) in PHASE_BOUNDS_S.items():
+        own = [s for s in samples if begin_s <= s.offset_s < end_s]
         summary.phases[name] = summarize_lengths(own)
     lost = [s.result for s in samples if s.result != "ok"]
     summary.lost = dict(collections.Counter(lost))
@@ -132,12 +132,15 @@
     }
     running: collections.Counter[str] = collections.Counter()
     for record in fleet.history.records:
-        at_s = record.time_s - started_at
+        offset_s = record.time_s - started_at
         match record.kind:
             case HistoryKind.REQUEST_STARTED:
                 running[record.actor] += 1
-                bound_s = LEAVES_AT_S + 3
-                if record.actor in in_zone and bound_s < at_s < RETURNS_AT_S:
+                bound_s = ZONE_OUT_AT_S + 3
+                if (
+                    record.actor in in_zone
+                    and bound_s < offset_s < ZONE_BACK_AT_S
+                ):
                     summary.started_after_bound += 1
                 if record.fields["cold"]:
                     most = max(summary.most_cold, running[record.actor])
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -23,7 +23,7 @@
 ANSWER_WITHIN_S = 5
 
 
-def tune(settings):
+def customize_settings(settings):
     settings.callers.max_body_bytes = 20_000
     settings.callers.max_header_bytes = 4_096
 
@@ -34,7 +34,10 @@
 
         async def scenario():
             options = FleetOptions(
-                engines=1, daemons=1, connector=SimulatedConnector, tune=tune
+                engines=1,
+                daemons=1,
+                connector=SimulatedConnector,
+                customize_settings=customize_settings,
             )
             async with open_fleet(options) as fleet:
                 daemon = fleet.daemons["entry-0"]
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -32,7 +32,7 @@
 FREED_WITHIN_S = 5
 
 
-def tune(settings):
+def customize_settings(settings):
     settings.endpoints.stream_idle_timeout_s = 3
     settings.callers.slow_caller_timeout_s = 5
 
@@ -45,7 +45,7 @@
         engine=EngineOptions(starts_warm=True),
         endpoint={"warm_after": 1},
         connector=connector,
-        tune=tune,
+        customize_settings=customize_settings,
     )
     async with open_fleet(options) as fleet:
         for _ in range(8):
@@ -151,7 +151,7 @@
                 kind=ObjectKind.SERVICE, name=MODEL, service=service
             )
             await fleet.apply(fleet.ticket([change]))
-            await fleet.wait_in_force()
+            await fleet.wait_until_converged()
             task = asyncio.create_task(complete(fleet))
             await asyncio.sleep(2)
             for each in fleet.engines.values():
--- a/tests/cli/test_against_daemon.py
+++ b/tests/cli/test_against_daemon.py
@@ -15,7 +15,7 @@
     open_installation,
 )
 from auburnswitch.standins.operators import HOST
-from tests.processes import CALLER_KEY, first_ticket, open_process_fleet
+from tests.processes import CALLER_KEY, initial_ticket, open_process_fleet
 
 LIMIT_S = 60
 TICKET = """
@@ -125,7 +125,7 @@
                 await fleet.start_daemon(name)
                 for name in ("entry-1", "entry-2")
             ]
-            await fleet.apply("entry-1", first_ticket(fleet.urls))
+            await fleet.apply("entry-1", initial_ticket(fleet.urls))
             await fleet.wait_ready(live=2)
             key_file = fleet.folder / "caller.key"
             key_file.write_text(CALLER_KEY, "utf-8")
--- a/tests/configuration/test_spread.py
+++ b/tests/configuration/test_spread.py
@@ -13,7 +13,7 @@
     open_fleet,
 )
 from auburnswitch.experiments.ticket_spread import (
-    DAEMONS,
+    DAEMON_COUNT,
     FAULTS,
     measure_ticket,
 )
@@ -27,7 +27,7 @@
     def test_in_force_in_time_under_each_fault(self):
         async def scenario(fault, before):
             options = FleetOptions(
-                engines=1, daemons=DAEMONS, connector=SimulatedConnector
+                engines=1, daemons=DAEMON_COUNT, connector=SimulatedConnector
             )
             async with open_fleet(options) as fleet:
                 await asyncio.sleep(12)
@@ -75,7 +75,7 @@
                 fleet.platform.outage = False
                 await asyncio.sleep(5)
                 await fleet.apply(ticket)
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 later = await self.post(
                     fleet, path, {}, **{"Idempotency-Key": "k"}
                 )
--- a/tests/configuration/test_version_model.py
+++ b/tests/configuration/test_version_model.py
@@ -23,7 +23,7 @@
     InstallationConfig,
     Route,
 )
-from tests.model_search import BrokenRuleError, search
+from tests.model_search import InvariantViolationError, explore_states
 from tests.virtual_time import run_virtual
 
 CONFIGS = ((), ("a", "b"), ("b",), ("a", "b", "c"), ("c",))
@@ -165,13 +165,13 @@
         for number in (0, 1):
             version = state.versions[number]
             if version < state.before[number]:
-                raise BrokenRuleError("a daemon went back")
+                raise InvariantViolationError("a daemon went back")
             if version and state.contents[number] != model.truth(version):
-                raise BrokenRuleError("a daemon has what never was")
+                raise InvariantViolationError("a daemon has what never was")
 
     async def run() -> int:
         with mock.patch.object(module, "log_event"):
-            return search(Daemons(), next_states, check)
+            return explore_states(Daemons(), next_states, check)
 
     return run_virtual(run)
 
@@ -186,7 +186,7 @@
     def refuted(self, model, name, broken):
         with (
             mock.patch.object(Installation, name, broken),
-            self.assertRaises(BrokenRuleError),
+            self.assertRaises(InvariantViolationError),
         ):
             explore(model)
 
--- a/tests/endpoints/test_cold_bound.py
+++ b/tests/endpoints/test_cold_bound.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from auburnswitch.standins.engine_model import EngineOptions
 from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
 from tests.virtual_time import run_virtual
--- a/tests/endpoints/test_cold_turns.py
+++ b/tests/endpoints/test_cold_turns.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from tests.endpoints.fleet_harness import FleetHarness, open_harness
 from tests.virtual_time import run_virtual
 
--- a/tests/endpoints/test_engine_reconciler.py
+++ b/tests/endpoints/test_engine_reconciler.py
@@ -14,7 +14,7 @@
 from auburnswitch.endpoints.fencing import FencingNumberAllocator
 from auburnswitch.endpoints.model_load_limiter import ModelLoadLimiter
 from auburnswitch.experiments.fleet import MODEL, FleetOptions
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from auburnswitch.object_store.store import ObjectStore
 from auburnswitch.observe.tasks import open_task_set
 from auburnswitch.schema.objects import Change, Endpoint, ObjectKind
--- a/tests/endpoints/test_handover.py
+++ b/tests/endpoints/test_handover.py
@@ -8,7 +8,7 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.handover import Handover
 from auburnswitch.endpoints.load_report import LoadReport
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from auburnswitch.schema.peers import EndpointPhase, HandoverRequest
 from auburnswitch.standins.history import HistoryKind
 from tests.endpoints.fleet_harness import number_of, open_harness
--- a/tests/endpoints/test_orphans.py
+++ b/tests/endpoints/test_orphans.py
@@ -13,7 +13,7 @@
 from auburnswitch.endpoints.client import EndpointClient
 from auburnswitch.endpoints.load_report import LoadReport
 from auburnswitch.endpoints.orphans import OrphanCollector
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from auburnswitch.schema.objects import Member, Roster
 from auburnswitch.schema.peers import ClaimsReply
 from auburnswitch.schema.results import ResultCode
@@ -205,7 +205,7 @@
         self.assertLess(self.run_bench(scenario), 10)
 
     def test_slow_heartbeats_lose_no_work(self):
-        def tune(settings):
+        def customize_settings(settings):
             settings.members.heartbeat_interval_s = 5
             settings.members.suspect_after_s = 11
             settings.members.strict_lease_s = 11
@@ -219,10 +219,13 @@
             await bench.finish()
             return bench.statuses, cancelled(bench)
 
-        self.assertEqual(self.run_bench(scenario, tune=tune), ([200, 200], []))
+        self.assertEqual(
+            self.run_bench(scenario, customize_settings=customize_settings),
+            ([200, 200], []),
+        )
 
     def test_frozen_daemon_keeps_its_work_while_it_is_a_member(self):
-        def tune(settings):
+        def customize_settings(settings):
             settings.members.remove_after_s = 60
 
         async def scenario(bench):
@@ -234,7 +237,10 @@
             await bench.finish()
             return bench.statuses, cancelled(bench)
 
-        self.assertEqual(self.run_bench(scenario, tune=tune), ([200, 200], []))
+        self.assertEqual(
+            self.run_bench(scenario, customize_settings=customize_settings),
+            ([200, 200], []),
+        )
 
 
 async def wait_empty_of(bench: FleetHarness, entry: str) -> float:
--- a/tests/endpoints/test_unschedulable.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -9,7 +9,7 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments.fleet import FleetOptions
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from auburnswitch.object_store.store import StoreUnavailable
 from auburnswitch.standins.engine_model import EngineOptions
 from auburnswitch.standins.history import HistoryKind
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -8,7 +8,7 @@
 from auburnswitch.experiments.installation import (
     make_config,
     open_installation,
-    until,
+    wait_until,
 )
 from auburnswitch.schema.gossip import DaemonRecord
 
@@ -23,7 +23,7 @@
             self.assertEqual((await fleet.call("/book/1", key="key-2"))[0], 200)
             teams = [{"Name": "walk-ins", "ApiKeys": ["key-1"]}]
             fleet.store.put("config", "main", make_config(2, Tenants=teams))
-            await until(
+            await wait_until(
                 lambda: fleet.daemons[0].installation.config_version == 2, 1.0
             )
             self.assertEqual((await fleet.call("/book/1", key="key-2"))[0], 401)
@@ -32,7 +32,7 @@
         async with open_installation() as fleet:
             fleet.store.put("config", "main", make_config(5))
             known = fleet.daemons[0].installation
-            await until(lambda: known.config_version == 5)
+            await wait_until(lambda: known.config_version == 5)
             fleet.store.put("config", "main", make_config(3))
             await asyncio.sleep(0.2)
             self.assertEqual(known.config_version, 5)
@@ -42,24 +42,24 @@
             fleet.store.forget_history()
             fleet.store.put("config", "main", make_config(2))
             known = fleet.daemons[0].installation
-            await until(lambda: known.config_version == 2, 1.5)
+            await wait_until(lambda: known.config_version == 2, 1.5)
 
     async def test_zone_gets_nothing_while_it_is_closed(self):
         async with open_installation() as fleet:
             fleet.store.put("evacuations", "zone-1", {})
             known = fleet.daemons[0].installation
-            await until(lambda: known.closed_zones)
+            await wait_until(lambda: known.closed_zones)
             self.assertEqual((await fleet.call("/book/1"))[0], 503)
             fleet.store.remove("evacuations", "zone-1")
-            await until(lambda: not known.closed_zones)
+            await wait_until(lambda: not known.closed_zones)
             self.assertEqual((await fleet.call("/book/1"))[0], 200)
 
     async def test_draining_and_removed_endpoints_get_nothing(self):
-        async with open_installation(desks=2) as fleet:
-            fleet.put_entry("desk-0", "desk", State="draining")
+        async with open_installation(plain_services=2) as fleet:
+            fleet.put_endpoint("desk-0", "desk", State="draining")
             fleet.store.remove("servers", "desk-1")
             known = fleet.daemons[0].installation
-            await until(lambda: not open_desks(known))
+            await wait_until(lambda: not open_desks(known))
             self.assertEqual((await fleet.call("/book/1"))[0], 503)
             self.assertEqual(fleet.arrivals, [])
 
@@ -70,38 +70,40 @@
                 (None, 5, [], {}, {"Service": 1}, {"State": "resting"})
             ):
                 fleet.store.put("servers", f"strange-{number}", spec)
-            fleet.put_entry("desk-0", "desk", Address="nowhere")
-            await until(lambda: "desk-0" not in known.endpoints)
+            fleet.put_endpoint("desk-0", "desk", Address="nowhere")
+            await wait_until(lambda: "desk-0" not in known.endpoints)
             self.assertEqual((await fleet.call("/book/1"))[0], 200)
 
     async def test_pages_of_a_list(self):
-        async with open_installation(engines=3, desks=3) as fleet:
+        async with open_installation(engines=3, plain_services=3) as fleet:
             fleet.store.page_items = 2
             fleet.store.forget_history()
-            fleet.put_entry("desk-0", "desk", Slots=9)
+            fleet.put_endpoint("desk-0", "desk", Slots=9)
             known = fleet.daemons[0].installation
-            await until(lambda: known.endpoints["desk-0"].entry.slots == 9, 2.0)
+            await wait_until(
+                lambda: known.endpoints["desk-0"].entry.slots == 9, 2.0
+            )
             self.assertEqual(len(known.endpoints), 6)
 
     async def test_daemons_find_each_other_and_share_work(self):
         async with open_installation(daemons=3) as fleet:
-            await until(
+            await wait_until(
                 lambda: all(
                     len(d.gossip.live_peers()) == 2 for d in fleet.daemons
                 )
             )
             runner = fleet.runners["engine-0"]
-            fleet.put_entry("engine-1", "engines", State="draining")
+            fleet.put_endpoint("engine-1", "engines", State="draining")
             runner.event_interval_s = 0.1
             call = asyncio.create_task(fleet.call("/chat/1", tokens="900,50"))
-            await until(
+            await wait_until(
                 lambda: all(
                     d.load.by_endpoint["engine-0"].decode_count == 1
                     for d in fleet.daemons
                 )
             )
             await call
-            await until(
+            await wait_until(
                 lambda: (
                     not any(
                         d.load.by_endpoint["engine-0"].work_by_request
@@ -121,30 +123,30 @@
             daemon.members_interval_s = 0.05
             daemon.tasks.start(daemon._keep_members(), "keep members")
             known = fleet.store.objects["auburnswitch-daemons"]
-            await until(lambda: "gone" not in known)
+            await wait_until(lambda: "gone" not in known)
             self.assertEqual(daemon._count_daemons(), 1)
             self.assertIn("entry-0", known)
 
     async def test_daemons_that_forgot_each_other_meet_again(self):
         async with open_installation(daemons=2) as fleet:
             first, second = fleet.daemons
-            await until(lambda: first.gossip.live_peers())
+            await wait_until(lambda: first.gossip.live_peers())
             for daemon in fleet.daemons:
                 daemon.gossip.peers.clear()
                 daemon.members_interval_s = 0.2
                 daemon.tasks.start(daemon._keep_members(), "keep members")
-            await until(
+            await wait_until(
                 lambda: first.gossip.live_peers() and second.gossip.live_peers()
             )
 
     async def test_daemon_cut_off_from_the_store_follows_its_peers(self):
         async with open_installation(daemons=2) as fleet:
             first, second = fleet.daemons
-            await until(lambda: first.gossip.live_peers())
+            await wait_until(lambda: first.gossip.live_peers())
             second.settings.store.address = "127.0.0.1:9"
             fleet.store.put("config", "main", make_config(7))
             fleet.store.put("evacuations", "zone-1", {})
-            await until(
+            await wait_until(
                 lambda: (
                     second.installation.config_version == 7
                     and second.installation.closed_zones
@@ -153,15 +155,15 @@
             )
 
     async def test_lapsed_entries_are_kept_while_they_may_come_back(self):
-        async with open_installation(desks=1) as fleet:
+        async with open_installation(plain_services=1) as fleet:
             known = fleet.daemons[0].installation
             fleet.store.down = True
-            await until(lambda: fleet.daemons[0].follower.failed_at)
+            await wait_until(lambda: fleet.daemons[0].follower.failed_at)
             fleet.store.remove("servers", "desk-0")
             fleet.store.down = False
-            await until(lambda: known.endpoints["desk-0"].gone_at)
+            await wait_until(lambda: known.endpoints["desk-0"].gone_at)
             self.assertEqual((await fleet.call("/book/1"))[0], 200)
-            await until(lambda: not open_desks(known), 3.0)
+            await wait_until(lambda: not open_desks(known), 3.0)
 
 
 if __name__ == "__main__":
--- a/tests/entry/test_observing.py
+++ b/tests/entry/test_observing.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from auburnswitch.experiments.installation import open_installation, until
+from auburnswitch.experiments.installation import open_installation, wait_until
 
 
 class ObservingTest(unittest.IsolatedAsyncioTestCase):
@@ -13,7 +13,7 @@
             runner = fleet.runners["engine-0"]
             runner.running = 3
             runner.slowdown = 2.5
-            await until(
+            await wait_until(
                 lambda: all(
                     d.load.by_endpoint["engine-0"].unknown_requests == 3
                     and d.load.by_endpoint["engine-0"].slowdown == 2.5
@@ -21,7 +21,7 @@
                 )
             )
             runner.running, runner.slowdown = 0, 1.0
-            await until(
+            await wait_until(
                 lambda: (
                     not any(
                         d.load.by_endpoint["engine-0"].unknown_requests
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -11,7 +11,7 @@
 from auburnswitch.experiments.installation import (
     make_config,
     open_installation,
-    until,
+    wait_until,
 )
 from auburnswitch.standins.runner import Fault
 
@@ -80,20 +80,20 @@
             with self.subTest(fault):
                 async with open_installation() as fleet:
                     fleet.runners["desk-0"].faults.append(fault)
-                    fleet.put_entry("desk-1", "desk", State="draining")
+                    fleet.put_endpoint("desk-1", "desk", State="draining")
                     await asyncio.sleep(0.05)
                     await self._repeat(fleet)
 
     async def _repeat(self, fleet):
         call = asyncio.create_task(fleet.call("/read/1", method="GET"))
-        await until(lambda: fleet.arrivals)
-        fleet.put_entry("desk-1", "desk")
+        await wait_until(lambda: fleet.arrivals)
+        fleet.put_endpoint("desk-1", "desk")
         status, body, _ = await call
         if status == 200:
             self.assertTrue(body.startswith(b"answer of"))
 
     async def test_endpoint_with_another_id_does_not_run_it(self):
-        async with open_installation(desks=1) as fleet:
+        async with open_installation(plain_services=1) as fleet:
             fleet.runners["desk-0"].id = "restarted"
             status, _, _ = await fleet.call("/book/1")
         self.assertEqual(status, 503)
@@ -102,7 +102,7 @@
     async def test_too_large_body_and_headers(self):
         limits = {"MaxBodyBytes": 100, "MaxHeaderBytes": 400}
         async with open_installation(
-            first_config=make_config(Limits=limits)
+            initial_config=make_config(Limits=limits)
         ) as fleet:
             large = await fleet.call("/book/1", body=b"x" * 101)
             long = await fleet.call("/book/1", headers={"X-Long": "x" * 400})
@@ -112,7 +112,7 @@
     async def test_answer_at_the_route_timeout(self):
         made = make_config()
         made["Routes"][2]["TimeoutMs"] = 300
-        async with open_installation(first_config=made) as fleet:
+        async with open_installation(initial_config=made) as fleet:
             for runner in fleet.runners.values():
                 runner.faults.append(Fault.SILENT)
             started = asyncio.get_running_loop().time()
@@ -122,7 +122,7 @@
         self.assertLess(took_s, 0.8)
 
     async def test_request_that_crashes_endpoints_is_refused(self):
-        async with open_installation(desks=4) as fleet:
+        async with open_installation(plain_services=4) as fleet:
             for runner in fleet.runners.values():
                 runner.faults.extend([Fault.CUT] * 9)
             answers = [await fleet.call("/book/7") for _ in range(6)]
@@ -148,11 +148,11 @@
                 fleet.runners[name].faults.append(Fault.CUT_MIDWAY)
             # the second engine is cut as well unless the first was asked
             fleet.runners["engine-1"].faults.clear()
-            fleet.put_entry("engine-1", "engines", State="draining")
+            fleet.put_endpoint("engine-1", "engines", State="draining")
             await asyncio.sleep(0.05)
             call = asyncio.create_task(fleet.call("/chat/1", tokens=SHORT))
-            await until(lambda: fleet.runners["engine-0"].arrivals)
-            fleet.put_entry("engine-1", "engines")
+            await wait_until(lambda: fleet.runners["engine-0"].arrivals)
+            fleet.put_endpoint("engine-1", "engines")
             status, body, _ = await call
         self.assertEqual(status, 200)
         self.assertEqual(_ids(body), [1, 2, 3, 4, 5])
@@ -177,19 +177,19 @@
             runner = fleet.runners["engine-0"]
             runner.events, runner.event_interval_s = 200, 0.02
             call = asyncio.create_task(fleet.call("/chat/1", tokens=SHORT))
-            await until(lambda: runner.arrivals)
+            await wait_until(lambda: runner.arrivals)
             await asyncio.sleep(0.05)
             call.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await call
-            await until(lambda: runner.stopped_early, 0.5)
+            await wait_until(lambda: runner.stopped_early, 0.5)
 
     async def test_memory_of_a_long_prompt_is_reserved_and_released(self):
         async with open_installation(engines=3) as fleet:
             status, _, _ = await fleet.call("/chat/1", tokens="80000,50")
             helped = fleet.arrivals[0].headers["x-helpers"]
             engines = list(fleet.runners.values())
-            await until(lambda: not any(r.reservations for r in engines))
+            await wait_until(lambda: not any(r.reservations for r in engines))
         self.assertEqual(status, 200)
         self.assertIn("/entry-0-", helped)
 
--- a/tests/experiments/test_checker.py
+++ b/tests/experiments/test_checker.py
@@ -5,15 +5,15 @@
 import unittest
 
 from auburnswitch.experiments.caller import CallOutcome
-from auburnswitch.experiments.calls import CallRecord
 from auburnswitch.experiments.checker import (
-    Closing,
-    Loss,
-    Rule,
+    ConfigSample,
+    DaemonOutage,
     RunHistory,
-    StateSample,
+    RunInvariant,
+    UnschedulablePeriod,
     check_run,
 )
+from auburnswitch.experiments.recording_caller import CallRecord
 from auburnswitch.standins.history import History, HistoryKind, HistoryRecord
 
 
@@ -44,7 +44,7 @@
 class CheckerTest(unittest.TestCase):
     def rules(self, records=(), calls=(), **values):
         run = RunHistory(history=history(*records), calls=list(calls), **values)
-        return [violation.rule for violation in check_run(run)]
+        return [violation.invariant for violation in check_run(run)]
 
     def test_good_history(self):
         booking = call("call-2", idempotent=False, key="k")
@@ -62,66 +62,82 @@
             for name in ("call-1", "call-2")
         ]
         records = [plain_run("call-1"), plain_run("call-2")]
-        self.assertEqual(self.rules(records, calls), [Rule.AT_MOST_ONCE])
+        self.assertEqual(
+            self.rules(records, calls), [RunInvariant.AT_MOST_ONCE]
+        )
 
     def test_second_run_without_a_key(self):
         records = [plain_run("call-1"), plain_run("call-1")]
         calls = [call(idempotent=False)]
-        self.assertEqual(self.rules(records, calls), [Rule.AT_MOST_ONCE])
+        self.assertEqual(
+            self.rules(records, calls), [RunInvariant.AT_MOST_ONCE]
+        )
 
     def test_partial_or_foreign_answer(self):
         for text in ("a", "abb", "xy"):
             outcome = CallOutcome(result="ok", text=text)
             calls = [call(expected="ab", outcome=outcome)]
-            self.assertEqual(self.rules((), calls), [Rule.WHOLE_ANSWER])
+            self.assertEqual(self.rules((), calls), [RunInvariant.WHOLE_ANSWER])
         outcome = CallOutcome(result="stream_broken", text="x")
         calls = [call(expected="ab", outcome=outcome)]
-        self.assertEqual(self.rules((), calls), [Rule.WHOLE_ANSWER])
+        self.assertEqual(self.rules((), calls), [RunInvariant.WHOLE_ANSWER])
 
     def test_refused_as_not_run_but_ran(self):
         outcome = CallOutcome(result="queue_full", ran="no")
         rules = self.rules([plain_run("call-1")], [call(outcome=outcome)])
-        self.assertEqual(rules, [Rule.NOT_RUN])
+        self.assertEqual(rules, [RunInvariant.NOT_RUN])
 
     def test_late_missing_or_broken_answer(self):
         late = CallOutcome(result="ok", total_s=12)
         broken = CallOutcome(result="broken", ran="unknown")
         internal = CallOutcome(result="internal", ran="unknown")
         cases = [
-            (internal, Rule.NO_INTERNAL_ERROR),
-            (late, Rule.ENDS_IN_TIME),
-            (None, Rule.ANSWERED),
-            (broken, Rule.ANSWERED),
+            (internal, RunInvariant.NO_INTERNAL_ERROR),
+            (late, RunInvariant.ENDS_IN_TIME),
+            (None, RunInvariant.ANSWERED),
+            (broken, RunInvariant.ANSWERED),
         ]
-        for outcome, rule in cases:
-            self.assertEqual(self.rules((), [call(outcome=outcome)]), [rule])
+        for outcome, invariant in cases:
+            self.assertEqual(
+                self.rules((), [call(outcome=outcome)]), [invariant]
+            )
         for lost, excused in (
-            (Loss(daemon="entry-0", lost_at=0), True),
-            (Loss(daemon="entry-0", lost_at=90), False),
-            (Loss(daemon="entry-1", lost_at=0), False),
-            (Loss(daemon="entry-0", lost_at=0, killed=False), False),
+            (DaemonOutage(daemon="entry-0", began_at=0), True),
+            (DaemonOutage(daemon="entry-0", began_at=90), False),
+            (DaemonOutage(daemon="entry-1", began_at=0), False),
+            (DaemonOutage(daemon="entry-0", began_at=0, killed=False), False),
         ):
-            rules = self.rules((), [call(outcome=broken)], losses=[lost])
-            self.assertEqual(rules, [] if excused else [Rule.ANSWERED])
+            rules = self.rules(
+                (), [call(outcome=broken)], daemon_outages=[lost]
+            )
+            self.assertEqual(rules, [] if excused else [RunInvariant.ANSWERED])
 
     def test_work_on_a_closed_endpoint(self):
-        closing = Closing(endpoint="b", accepted_at=10, reopened_at=50)
-        for time_s, expected in ((12, []), (14, [Rule.CLOSED]), (51, [])):
+        closing = UnschedulablePeriod(
+            endpoint="b", accepted_at=10, schedulable_at=50
+        )
+        for time_s, expected in (
+            (12, []),
+            (14, [RunInvariant.CLOSED]),
+            (51, []),
+        ):
             records = [plain_run("call-9", time_s)]
-            rules = self.rules(records, closings=[closing])
+            rules = self.rules(records, unschedulable_periods=[closing])
             self.assertEqual(rules, expected)
 
     def test_work_that_waited_in_a_frozen_endpoint(self):
-        closing = Closing(endpoint="b", accepted_at=10, reopened_at=50)
-        for arrived_s, expected in ((12, []), (14, [Rule.CLOSED])):
+        closing = UnschedulablePeriod(
+            endpoint="b", accepted_at=10, schedulable_at=50
+        )
+        for arrived_s, expected in ((12, []), (14, [RunInvariant.CLOSED])):
             record = plain_run("call-9", 20)
             record[3]["arrived_s"] = arrived_s
-            rules = self.rules([record], closings=[closing])
+            rules = self.rules([record], unschedulable_periods=[closing])
             self.assertEqual(rules, expected)
 
     def test_overloaded_cold_endpoint(self):
         crash = (9.0, "e", HistoryKind.CRASHED, {"cause": "cold overload"})
-        self.assertEqual(self.rules([crash]), [Rule.COLD_BOUND])
+        self.assertEqual(self.rules([crash]), [RunInvariant.COLD_BOUND])
         cold = (1.0, "e", HistoryKind.TURNED_COLD, {})
         kinds = (HistoryKind.REQUEST_STARTED, HistoryKind.REQUEST_FINISHED)
         first, second, third = (
@@ -130,22 +146,26 @@
         )
         for records, expected in (
             ([cold, *first], []),
-            ([cold, *first, *second], [Rule.COLD_BOUND]),
+            ([cold, *first, *second], [RunInvariant.COLD_BOUND]),
             ([cold, *second, *third], []),
             ([first[0], cold, first[1], *second], []),  # began before it
         ):
             self.assertEqual(self.rules([*records, crash]), expected)
         again = self.rules([cold, crash, crash])  # a new start is known
-        self.assertEqual(again, [Rule.COLD_BOUND])
+        self.assertEqual(again, [RunInvariant.COLD_BOUND])
 
     def test_memory_kept(self):
-        self.assertEqual(self.rules([taken("x.1")]), [Rule.MEMORY_FREED])
+        self.assertEqual(
+            self.rules([taken("x.1")]), [RunInvariant.MEMORY_FREED]
+        )
         crash = (2.0, "e", HistoryKind.CRASHED, {"cause": "switch"})
         self.assertEqual(self.rules([taken("x.1"), crash]), [])
 
     def test_reverted_state(self):
         samples = [
-            StateSample(member_id="m", numbers={"zone/a": number})
+            ConfigSample(member_id="m", ticket_numbers={"zone/a": number})
             for number in (1, 3, 2)
         ]
-        self.assertEqual(self.rules(samples=samples), [Rule.STATE_MONOTONIC])
+        self.assertEqual(
+            self.rules(samples=samples), [RunInvariant.STATE_MONOTONIC]
+        )
--- a/tests/experiments/test_freezing.py
+++ b/tests/experiments/test_freezable_loop.py
@@ -10,8 +10,8 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.experiments.fleet import FleetOptions, open_fleet
-from auburnswitch.experiments.freezing import FreezableLoop
-from auburnswitch.experiments.parts import PART
+from auburnswitch.experiments.freezable_loop import FreezableLoop
+from auburnswitch.experiments.process_context import PROCESS_NAME
 from tests.virtual_time import SimulatedConnector, run_virtual
 
 OPTIONS = FleetOptions(engines=1, daemons=3, connector=SimulatedConnector)
@@ -40,7 +40,7 @@
         self.transport.write(data)
 
 
-class FreezingTest(unittest.TestCase):
+class FreezableLoopTest(unittest.TestCase):
     def test_frozen_daemon_is_silent_then_goes_on(self):
         async def scenario():
             async with open_fleet(OPTIONS) as fleet:
@@ -54,7 +54,7 @@
                 self.assertNotIn(daemon.member.id, live)
                 fleet.thaw_daemon(1)
                 thawed = await is_healthy(fleet.session, url)
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 return while_frozen, thawed, monotonic_s() - frozen_at
 
         frozen, thawed, took_s = run_virtual(scenario, FreezableLoop)
@@ -65,7 +65,7 @@
         async def scenario():
             loop = asyncio.get_running_loop()
             context = contextvars.copy_context()
-            context.run(PART.set, "server")
+            context.run(PROCESS_NAME.set, "server")
             await asyncio.create_task(
                 loop.create_server(EchoProtocol, "127.0.0.1", 1),
                 context=context,
@@ -88,9 +88,9 @@
                 fleet.kill_daemon(2)
                 with self.assertRaises(aiohttp.ClientConnectionError):
                     await is_healthy(fleet.session, url)
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 await fleet.start_daemon(2)
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 return len(fleet.daemons["entry-0"].view.live_ids())
 
         self.assertEqual(run_virtual(scenario, FreezableLoop), 3)
--- a/tests/experiments/test_placement.py
+++ b/tests/experiments/test_placement.py
@@ -7,7 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from auburnswitch.experiments.arrivals import MIX, make_arrivals
+from auburnswitch.experiments.arrivals import (
+    PROMPT_LENGTH_MIX,
+    generate_arrivals,
+)
 from auburnswitch.experiments.placement import RunOptions, run_policy
 from auburnswitch.experiments.report import (
     LengthSummary,
@@ -21,8 +24,12 @@
 
 
 def arrivals(seed, load):
-    return make_arrivals(
-        seed=seed, load=load, capacity=CAPACITY, daemons=9, duration_s=300
+    return generate_arrivals(
+        seed=seed,
+        load=load,
+        capacity_tokens_per_s=CAPACITY,
+        daemons=9,
+        duration_s=300,
     )
 
 
@@ -41,10 +48,10 @@
         drawn = arrivals(seed, load)
         tokens = sum(arrival.tokens for arrival in drawn)
         self.assertAlmostEqual(tokens / (CAPACITY * 300), load, delta=0.01)
-        times = [arrival.at_s for arrival in drawn]
+        times = [arrival.offset_s for arrival in drawn]
         self.assertEqual(times, sorted(times))
-        for part in MIX:
-            own = [a for a in drawn if a.length is part.length]
+        for part in PROMPT_LENGTH_MIX:
+            own = [a for a in drawn if a.length_class is part.length_class]
             self.assertAlmostEqual(len(own) / len(drawn), part.share, 2)
             for arrival in own:
                 self.assertGreaterEqual(arrival.tokens, part.min_tokens)
--- a/tests/members/test_cells.py
+++ b/tests/members/test_cells.py
@@ -7,7 +7,7 @@
 from auburnswitch.configuration.installation import Installation
 from auburnswitch.members.cells import ENDPOINTS_IN_CELL, Cells
 from auburnswitch.schema.installation import EndpointEntry, EndpointList
-from tests.virtual_time import in_loop
+from tests.virtual_time import in_virtual_loop
 
 
 def installation(engines: int, desks: int = 4) -> Installation:
@@ -25,7 +25,7 @@
 
 
 class CellsTest(unittest.TestCase):
-    @in_loop
+    @in_virtual_loop
     def test_small_fleet_is_one_cell(self):
         cells = Cells(installation=installation(70), instance="entry-0")
         self.assertEqual(cells.count, 1)
@@ -33,7 +33,7 @@
         self.assertTrue(cells.is_own("engine-5"))
         self.assertTrue(cells.is_near("entry-7"))
 
-    @in_loop
+    @in_virtual_loop
     def test_every_endpoint_is_in_the_cell_of_some_daemon(self):
         known = installation(1000)
         fleet = [
@@ -49,7 +49,7 @@
             owned |= own
         self.assertGreater(len(owned), 900)
 
-    @in_loop
+    @in_virtual_loop
     def test_daemons_agree_on_who_is_near(self):
         known = installation(1000)
         fleet = {
@@ -60,7 +60,7 @@
             for other, others in fleet.items():
                 self.assertEqual(cells.is_near(other), others.is_near(name))
 
-    @in_loop
+    @in_virtual_loop
     def test_cells_follow_the_endpoints(self):
         known = installation(1000)
         cells = Cells(installation=known, instance="entry-0")
--- a/tests/members/test_gossip.py
+++ b/tests/members/test_gossip.py
@@ -6,7 +6,7 @@
 import contextlib
 import unittest
 
-from auburnswitch.experiments.installation import until
+from auburnswitch.experiments.installation import wait_until
 from auburnswitch.members import gossip
 from auburnswitch.members.gossip import GossipNode
 from auburnswitch.members.relay_table import REFRESH_S
@@ -75,7 +75,7 @@
                     node.node.add_peer(other.node.me)
         for node in nodes:
             node.node.tell_news()  # directly, so that all are known as live
-        await until(
+        await wait_until(
             lambda: all(
                 len(n.node.live_peers()) == len(nodes) - 1 for n in nodes
             )
@@ -99,7 +99,7 @@
     async def test_few_daemons_send_to_each_other(self):
         async with open_nodes({"a": 2, "b": 1}) as nodes:
             nodes[0].node.tell_started([WorkItem(id=7)])
-            await until(
+            await wait_until(
                 lambda: all(n.heard_items("a-0") == [7] for n in nodes[1:])
             )
 
@@ -112,7 +112,7 @@
             sender.tell_started([WorkItem(id=7)])
             self.assertLessEqual(counted(), len(zones))
             others = [n for n in nodes if n.node is not sender]
-            await until(
+            await wait_until(
                 lambda: all(n.heard_items(sender.me.instance) for n in others)
             )
             await asyncio.sleep(0.1)
@@ -126,7 +126,7 @@
                 if peer.record.zone == "b":
                     peer.heard_at = None  # its relay cannot be known
             sender.tell_started([WorkItem(id=7)])
-            await until(
+            await wait_until(
                 lambda: all(n.heard_items("a-0") == [7] for n in nodes[18:])
             )
 
@@ -138,8 +138,8 @@
             sender.node.tell_started([WorkItem(id=8)], everywhere=True)
             sender.node.tell_ended([7], everywhere=False)
             sender.node.tell_ended([8], everywhere=True)
-            await until(lambda: near.heard_ended("a-0") == [7, 8])
-            await until(lambda: far.heard_ended("a-0") == [8])
+            await wait_until(lambda: near.heard_ended("a-0") == [7, 8])
+            await wait_until(lambda: far.heard_ended("a-0") == [8])
             self.assertEqual(near.heard_items("a-0"), [7, 8])
             self.assertEqual(far.heard_items("a-0"), [8])
 
@@ -149,7 +149,7 @@
             sender, far, near, _ = nodes
             sender.node.list_work = lambda: [WorkItem(id=7)]
             running = asyncio.create_task(sender.node.run())
-            await until(lambda: near.heard_items("a-0").count(7) >= 2)
+            await wait_until(lambda: near.heard_items("a-0").count(7) >= 2)
             running.cancel()
             self.assertEqual(far.heard_items("a-0"), [])
             beats = [m for name, m in far.heard if name == "a-0"]
--- a/tests/members/test_outage.py
+++ b/tests/members/test_outage.py
@@ -21,14 +21,16 @@
                 await asyncio.sleep(10)
                 for number in range(DAEMONS):
                     old = fleet.daemons[f"entry-{number}"].member
-                    tune = fleet.options.tune
+                    customize_settings = fleet.options.customize_settings
 
-                    def seeded(settings, tune=tune, old=old):
-                        tune(settings)
+                    def seeded(
+                        settings, customize_settings=customize_settings, old=old
+                    ):
+                        customize_settings(settings)
                         settings.members.seeds = f"{old.host}:{old.port}"
                         settings.members.heartbeat_interval_s = 1
 
-                    fleet.options.tune = seeded
+                    fleet.options.customize_settings = seeded
                     new = await fleet.start_daemon(DAEMONS + number)
                     await until(lambda new=new: not new.refuse_new(), SEEN_S)
                     await fleet.stop_daemon(number, graceful=number % 2 == 0)
--- a/tests/members/test_roster.py
+++ b/tests/members/test_roster.py
@@ -155,7 +155,7 @@
                 def rename(settings):
                     settings.daemon.instance = "entry-0"
 
-                fleet.options.tune = rename
+                fleet.options.customize_settings = rename
                 with self.assertLogs("auburnswitch", logging.ERROR) as logs:
                     await start(fleet, [3])
                     await until(lambda: agreed(fleet), 5)
--- a/tests/members/test_strict.py
+++ b/tests/members/test_strict.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from tests.members.cuttable import agreed, open_cuttable, until
 from tests.members.rights_watch import TTL_S, RightsWatch
 from tests.virtual_time import run_virtual
--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -11,11 +11,11 @@
     State = TypeVar("State", bound=Hashable)
 
 
-class BrokenRuleError(AssertionError):
+class InvariantViolationError(AssertionError):
     """A state was found in which a rule does not hold."""
 
 
-def search(
+def explore_states(
     first: State,
     next_states: Callable[[State], Iterable[State]],
     check: Callable[[State], None],
@@ -23,7 +23,7 @@
     """Visits all states, breadth first; returns their number.
 
     Raises:
-        BrokenRuleError: The check failed, with the way to the state.
+        InvariantViolationError: The check failed, with the way to the state.
     """
     came_from: dict[State, State | None] = {first: None}
     queue = collections.deque([first])
@@ -31,8 +31,8 @@
         state = queue.popleft()
         try:
             check(state)
-        except BrokenRuleError as error:
-            raise BrokenRuleError(
+        except InvariantViolationError as error:
+            raise InvariantViolationError(
                 f"{error}: {_way(came_from, state)}"
             ) from None
         for after in next_states(state):
--- a/tests/operators/test_app.py
+++ b/tests/operators/test_app.py
@@ -47,7 +47,7 @@
                     await fleet.stop_daemon(number, graceful=False)
                 for number in range(3):
                     await fleet.start_daemon(number)
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 for zone, out, key in (
                     ("daejeon-1", True, "k1"),
                     ("daejeon-1", False, "r1"),
@@ -63,7 +63,7 @@
                     await fleet.stop_daemon(number, graceful=False)
                 for number in range(3):
                     await fleet.start_daemon(number)
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 path = "/audit?object=availability_zone/daejeon-1"
                 return [
                     await call(fleet, "entry-2", path + query, "k1")
@@ -93,7 +93,7 @@
                 await fleet.apply(ticket, "entry-0")
                 path = f"/tickets/{ticket.number}/in-force"
                 early = await call(fleet, "entry-0", path, key)
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 await asyncio.sleep(2)
                 late = await call(fleet, "entry-1", path, key)
                 missing = await call(
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -19,11 +19,11 @@
 
 CALLER_KEY = "caller-key"
 OPERATOR_KEY = "operator-key"
-AUTHORIZATION = {"Authorization": f"Bearer {CALLER_KEY}"}
-OPERATOR = {"Authorization": f"Bearer {OPERATOR_KEY}"}
+AUTHORIZATION_HEADERS = {"Authorization": f"Bearer {CALLER_KEY}"}
+OPERATOR_HEADERS = {"Authorization": f"Bearer {OPERATOR_KEY}"}
 START_TIMEOUT_S = 20
 STOP_TIMEOUT_S = 20
-DAEMON_STARTED = 100
+DAEMON_STARTED_EVENT = 100
 
 
 class DaemonProcess:
@@ -46,20 +46,20 @@
     async def wait_started(self) -> None:
         async with asyncio.timeout(START_TIMEOUT_S):
             while not self.callers:
-                self.note(await self.process.stderr.readline())
+                self.record_event(await self.process.stderr.readline())
         self.reader = asyncio.create_task(self.read_events())
 
     async def read_events(self) -> None:
         while line := await self.process.stderr.readline():
-            self.note(line)
+            self.record_event(line)
 
-    def note(self, line: bytes) -> None:
+    def record_event(self, line: bytes) -> None:
         if not line:
             raise RuntimeError("the daemon ended before it started")
         with contextlib.suppress(ValueError):
             event = json.loads(line)
             self.events.append(event)
-            if event.get("event") == DAEMON_STARTED:
+            if event.get("event") == DAEMON_STARTED_EVENT:
                 self.callers = event["callers"]
                 self.operators = event["operators"]
 
@@ -122,14 +122,14 @@
     async def apply(self, instance: str, ticket: dict[str, Any]) -> int:
         url = f"{self.daemons[instance].operators}/tickets"
         async with self.session.post(
-            url, json=ticket, headers=OPERATOR
+            url, json=ticket, headers=OPERATOR_HEADERS
         ) as response:
             await response.read()
             return response.status
 
     async def status(self, instance: str) -> dict[str, Any]:
         url = f"{self.daemons[instance].operators}/status"
-        async with self.session.get(url, headers=OPERATOR) as response:
+        async with self.session.get(url, headers=OPERATOR_HEADERS) as response:
             return await response.json()
 
     async def wait_ready(self, live: int) -> None:
@@ -177,7 +177,7 @@
                 await fleet.stop()
 
 
-def first_ticket(urls: dict[str, str], warm_after: int = 1) -> dict[str, Any]:
+def initial_ticket(urls: dict[str, str], warm_after: int = 1) -> dict[str, Any]:
     """Returns the ticket that configures engines and plain services."""
     digest = hashlib.sha256(CALLER_KEY.encode()).hexdigest()
     changes: list[dict[str, Any]] = [
@@ -202,10 +202,10 @@
 
 
 __all__ = [
-    "AUTHORIZATION",
-    "OPERATOR",
+    "AUTHORIZATION_HEADERS",
+    "OPERATOR_HEADERS",
     "DaemonProcess",
     "ProcessFleet",
-    "first_ticket",
+    "initial_ticket",
     "open_process_fleet",
 ]
--- a/tests/proof/test_promises.py
+++ b/tests/proof/test_guarantees.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from auburnswitch.configuration.state import ConfigState
-from auburnswitch.experiments.calls import Caller
 from auburnswitch.experiments.fleet import (
     CALLER_KEY,
     PLAIN_SERVICE,
     FleetOptions,
     open_fleet,
 )
+from auburnswitch.experiments.recording_caller import RecordingCaller
 from auburnswitch.schema.objects import (
     AvailabilityZone,
     Change,
@@ -34,14 +34,16 @@
     return Ticket(number=number, changes=[change])
 
 
-class PromiseTest(unittest.TestCase):
+class GuaranteeTest(unittest.TestCase):
     def test_same_key_at_two_daemons_runs_once(self):
         async def scenario():
             options = FleetOptions(
                 engines=1, daemons=2, connector=SimulatedConnector
             )
             async with open_fleet(options) as fleet:
-                caller = Caller(session=fleet.session, caller_key=CALLER_KEY)
+                caller = RecordingCaller(
+                    session=fleet.session, caller_key=CALLER_KEY
+                )
                 calls = [
                     caller.call_plain(
                         f"{fleet.caller_url(name)}/services/{PLAIN_SERVICE}",
--- a/tests/proof/test_processes.py
+++ b/tests/proof/test_processes.py
@@ -12,21 +12,21 @@
 from auburnswitch.experiments.caller import CallOutcome, stream_completion
 from auburnswitch.standins.answers import answer_text, prompt_digest
 from tests.processes import (
-    AUTHORIZATION,
+    AUTHORIZATION_HEADERS,
     DaemonProcess,
     ProcessFleet,
-    first_ticket,
+    initial_ticket,
     open_process_fleet,
 )
 
 LIMIT_S = 90
-FREED_WITHIN_S = 30  # the caller's longest wait at a counter
+MEMORY_FREED_TIMEOUT_S = 30  # the caller's longest wait at a counter
 PROMPT = "hello " * 100
 TOKENS = 120  # a stream of some three seconds
 FEW_TOKENS = 8
 MANY_TOKENS = 400
 FREEZE_S = 4
-BOOKING_TIME = "--service_time_s=2"
+SERVICE_TIME_ARGUMENT = "--service_time_s=2"
 
 
 @contextlib.asynccontextmanager
@@ -35,10 +35,10 @@
         await fleet.start_standin("platform", "platform")
         for name in ("engine-1", "engine-2"):
             await fleet.start_standin(name, "engine", "--starts_warm=True")
-        await fleet.start_standin("plain-1", "plain", BOOKING_TIME)
+        await fleet.start_standin("plain-1", "plain", SERVICE_TIME_ARGUMENT)
         for number in range(daemons):
             await fleet.start_daemon(f"entry-{number}")
-        assert await fleet.apply("entry-0", first_ticket(fleet.urls)) == 200
+        assert await fleet.apply("entry-0", initial_ticket(fleet.urls)) == 200
         await fleet.wait_ready(live=daemons)
         yield fleet
 
@@ -48,7 +48,7 @@
 ) -> CallOutcome:
     body = {"model": "chat", "prompt": PROMPT, "max_tokens": tokens}
     return await stream_completion(
-        fleet.session, daemon.callers, body, AUTHORIZATION
+        fleet.session, daemon.callers, body, AUTHORIZATION_HEADERS
     )
 
 
@@ -58,7 +58,7 @@
         async with fleet.session.post(
             daemon.callers + "/services/desk/bookings",
             json={"slot": key},
-            headers=AUTHORIZATION | {"Idempotency-Key": key},
+            headers=AUTHORIZATION_HEADERS | {"Idempotency-Key": key},
         ) as response:
             await response.read()
             return response.status
@@ -95,7 +95,7 @@
     await wait_until(holds)
 
 
-async def wait_freed(fleet: ProcessFleet) -> None:
+async def wait_memory_freed(fleet: ProcessFleet) -> None:
     async def holds():
         used = 0
         for name in ("engine-1", "engine-2"):
@@ -103,7 +103,7 @@
                 used += (await reply.json())["memory_used_tokens"]
         return used == 0
 
-    async with asyncio.timeout(FREED_WITHIN_S):
+    async with asyncio.timeout(MEMORY_FREED_TIMEOUT_S):
         await wait_until(holds)
 
 
@@ -127,7 +127,7 @@
             self.assertIn(again, (409, 200, 201))
             self.assertEqual(await count_history(fleet, "plain-1", part), 1)
             self.check_whole(await complete(fleet, other))
-            await wait_freed(fleet)
+            await wait_memory_freed(fleet)
 
     async def test_killed_owner(self):
         async with open_fleet() as fleet:
@@ -148,7 +148,7 @@
             del fleet.daemons[owner]
             for daemon in fleet.daemons.values():
                 self.check_whole(await complete(fleet, daemon))
-            await wait_freed(fleet)
+            await wait_memory_freed(fleet)
 
     async def test_stopped_and_continued_daemon(self):
         async with open_fleet() as fleet:
@@ -162,7 +162,7 @@
             self.check_whole(await stream)
             await fleet.wait_ready(live=3)
             self.check_whole(await complete(fleet, frozen))
-            await wait_freed(fleet)
+            await wait_memory_freed(fleet)
 
     async def test_terminated_under_load(self):
         async with open_fleet() as fleet:
@@ -210,7 +210,7 @@
             async def books():
                 return await book(fleet, daemons[1], "key-2") < 300
 
-            async with asyncio.timeout(FREED_WITHIN_S):
+            async with asyncio.timeout(MEMORY_FREED_TIMEOUT_S):
                 await wait_until(books)
             self.assertEqual(await count_history(fleet, "plain-1", part), 1)
 
@@ -227,4 +227,4 @@
                 self.check_whole(await stream)
             status = await fleet.status("entry-0")
             self.assertEqual(status["violations"], {})
-            await wait_freed(fleet)
+            await wait_memory_freed(fleet)
--- a/tests/proof/test_random_runs.py
+++ b/tests/proof/test_random_runs.py
@@ -52,11 +52,13 @@
         shortest = shrink(
             list(range(50)),
             fails=lambda items: {7, 33} <= set(items),
-            may_go_on=lambda: True,
+            has_time_left=lambda: True,
         )
         self.assertEqual(shortest, [7, 33])
 
     def test_stops_when_time_is_up(self):
         items = list(range(50))
-        shortest = shrink(items, fails=lambda _: True, may_go_on=lambda: False)
+        shortest = shrink(
+            items, fails=lambda _: True, has_time_left=lambda: False
+        )
         self.assertEqual(shortest, items)
--- a/tests/routing/test_cold_fleet.py
+++ b/tests/routing/test_cold_fleet.py
@@ -4,13 +4,13 @@
 
 import unittest
 
-from auburnswitch.experiments.calls import Caller
 from auburnswitch.experiments.fleet import (
     CALLER_KEY,
     MODEL,
     FleetOptions,
     open_fleet,
 )
+from auburnswitch.experiments.recording_caller import RecordingCaller
 from auburnswitch.standins.engine_model import EngineOptions
 from tests.virtual_time import SimulatedConnector, run_virtual
 
@@ -29,7 +29,9 @@
                 connector=SimulatedConnector,
             )
             async with open_fleet(options) as fleet:
-                caller = Caller(session=fleet.session, caller_key=CALLER_KEY)
+                caller = RecordingCaller(
+                    session=fleet.session, caller_key=CALLER_KEY
+                )
                 return await caller.complete(
                     fleet.caller_url("entry-0"),
                     "entry-0",
@@ -54,7 +56,9 @@
                 connector=SimulatedConnector,
             )
             async with open_fleet(options) as fleet:
-                caller = Caller(session=fleet.session, caller_key=CALLER_KEY)
+                caller = RecordingCaller(
+                    session=fleet.session, caller_key=CALLER_KEY
+                )
                 outcomes = []
                 for prompt in ("short", PROMPT):
                     record = await caller.complete(
--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -15,7 +15,7 @@
 from auburnswitch.routing.send_rate_limiter import SendRateLimiter
 from auburnswitch.schema.entry import BoundSettings
 from auburnswitch.schema.installation import Service
-from tests.model_search import BrokenRuleError, search
+from tests.model_search import InvariantViolationError, explore_states
 
 ENDPOINT = "engine"
 SECOND_S = 1.0
@@ -91,10 +91,12 @@
             0 <= age < last for requests in state for _, age in requests
         )
         if arrived > self.bound:
-            raise BrokenRuleError(f"{arrived} in one second")
+            raise InvariantViolationError(f"{arrived} in one second")
 
-    def search(self) -> int:
-        return search(((),) * self.daemons, self.next_states, self.check)
+    def explore_states(self) -> int:
+        return explore_states(
+            ((),) * self.daemons, self.next_states, self.check
+        )
 
 
 def alone() -> Fleet:
@@ -117,7 +119,7 @@
     def refuted(self, fleet: Fleet, name: str, value: float) -> None:
         with (
             mock.patch.object(module, name, value),
-            self.assertRaises(BrokenRuleError),
+            self.assertRaises(InvariantViolationError),
         ):
             fleet.search()
 
--- a/tests/routing/test_crash_registry.py
+++ b/tests/routing/test_crash_registry.py
@@ -10,11 +10,11 @@
     CrashRegistry,
     compute_fingerprint,
 )
-from tests.virtual_time import in_loop
+from tests.virtual_time import in_virtual_loop
 
 
 class CrashRecordTest(unittest.TestCase):
-    @in_loop
+    @in_virtual_loop
     def test_third_crash_refuses(self):
         record = CrashRegistry()
         for number in range(3):
@@ -23,7 +23,7 @@
         self.assertTrue(record.is_refused("request"))
         self.assertFalse(record.is_refused("another"))
 
-    @in_loop
+    @in_virtual_loop
     def test_one_crash_counts_once_whoever_reports_it(self):
         record = CrashRegistry()
         for _ in range(5):
@@ -31,7 +31,7 @@
             record.merge_peer_crashes(["request/engine-1", "request", ""])
         self.assertEqual(record.count("request"), 1)
 
-    @in_loop
+    @in_virtual_loop
     def test_peers_are_told(self):
         seen, told = CrashRegistry(), CrashRegistry()
         for number in range(3):
@@ -42,7 +42,7 @@
             told.recent_local_crashes(), []
         )  # each daemon tells its own
 
-    @in_loop
+    @in_virtual_loop
     def test_memory_is_bounded(self):
         record = CrashRegistry()
         for number in range(crash_registry.MAX_FINGERPRINTS + 10):
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -17,7 +17,7 @@
     RENEW_INTERVAL_S,
     RESERVATION_LEASE_MS,
 )
-from tests.model_search import BrokenRuleError, search
+from tests.model_search import InvariantViolationError, explore_states
 
 TICK_S = 0.6  # in which a call arrives or is lost
 FREE_S = 4.0  # after which unused memory must be free
@@ -80,8 +80,8 @@
     needs_all: bool = True
     stops_renewing: bool = True
 
-    def search(self) -> int:
-        return search(Model(), self.next_states, self.check)
+    def explore_states(self) -> int:
+        return explore_states(Model(), self.next_states, self.check)
 
     def next_states(self, state: Model):
         for call in state.calls:
@@ -173,9 +173,11 @@
         for number, requester in enumerate(state.requesters):
             holds = [e.holder == number for e in state.engines]
             if requester.phase == SENDING and not all(holds):
-                raise BrokenRuleError("a prompt was sent without its memory")
+                raise InvariantViolationError(
+                    "a prompt was sent without its memory"
+                )
             if requester.since_end > self.free and any(holds):
-                raise BrokenRuleError("memory is not free in time")
+                raise InvariantViolationError("memory is not free in time")
 
 
 def _must_act(requester: Requester) -> bool:
@@ -214,7 +216,7 @@
         self.assertGreater(Rule().search(), 1_000)
 
     def refuted(self, **broken) -> None:
-        with self.assertRaises(BrokenRuleError):
+        with self.assertRaises(InvariantViolationError):
             replace(Rule(), **broken).search()
 
     def test_some_engines_are_enough(self):
--- a/tests/routing/test_prefill_planner.py
+++ b/tests/routing/test_prefill_planner.py
@@ -13,7 +13,7 @@
 from auburnswitch.routing.prefill_planner import plan_prefill
 from auburnswitch.schema.gossip import EngineReport, WorkItem
 from auburnswitch.schema.installation import EndpointEntry, EngineModel
-from tests.virtual_time import in_loop, run_virtual
+from tests.virtual_time import in_virtual_loop, run_virtual
 
 MODEL = EngineModel(
     slots=8,
@@ -82,13 +82,13 @@
 
 
 class PlacementTest(unittest.TestCase):
-    @in_loop
+    @in_virtual_loop
     def test_idle_pool_reads_a_short_prompt_alone(self):
         plan = Pool(4).choose(SHORT)
         self.assertEqual(plan.helpers, [])
         self.assertLess(plan.first_token_ms, SHORT.target_ms)
 
-    @in_loop
+    @in_virtual_loop
     def test_long_prompt_is_read_jointly_within_its_target(self):
         alone_ms = engine_latency.prefill_ms(MODEL, 300_000)
         self.assertGreater(alone_ms, 3_000)
@@ -102,7 +102,7 @@
         self.assertGreaterEqual(len(plan.helpers), 3)
         self.assertLess(plan.first_token_ms, 3_000)
 
-    @in_loop
+    @in_virtual_loop
     def test_prompt_over_one_memory_has_holders(self):
         prompt = PromptRequirements(
             tokens=700_000,
@@ -117,7 +117,7 @@
         self.assertGreaterEqual(plan.memory_tokens * (plan.holders + 1), needed)
         self.assertLess(plan.memory_tokens, MODEL.memory_tokens)
 
-    @in_loop
+    @in_virtual_loop
     def test_prompt_over_the_memory_of_all_has_no_plan(self):
         prompt = PromptRequirements(
             tokens=2_000_000,
@@ -127,7 +127,7 @@
         )
         self.assertIsNone(Pool(3).choose(prompt))
 
-    @in_loop
+    @in_virtual_loop
     def test_full_slots_have_no_plan(self):
         pool = Pool(2)
         for _ in range(16):
@@ -135,7 +135,7 @@
         self.assertIsNone(pool.place(SHORT))
         self.assertEqual(pool.writers(), [8, 8])
 
-    @in_loop
+    @in_virtual_loop
     def test_engine_that_refused_for_want_of_room_is_left_out(self):
         pool = Pool(2)
         for _ in range(3):
@@ -144,7 +144,7 @@
                 pool.place(SHORT).decode_engine.entry.id, "engine-1"
             )
 
-    @in_loop
+    @in_virtual_loop
     def test_engine_with_unknown_work_counts_as_busy(self):
         """Daemons lost power, and their requests still run."""
         pool = Pool(2)
@@ -156,7 +156,7 @@
             )
         self.assertIsNone(pool.place(SHORT))
 
-    @in_loop
+    @in_virtual_loop
     def test_slow_engine_gets_nothing_while_others_are_idle(self):
         pool = Pool(3)
         report = EngineReport(endpoint="engine-0", slowdown=4.0)
@@ -166,7 +166,7 @@
                 pool.place(SHORT).decode_engine.entry.id, "engine-0"
             )
 
-    @in_loop
+    @in_virtual_loop
     def test_short_prompt_avoids_an_engine_with_a_long_read(self):
         pool = Pool(2)
         reading = pool.place(REVIEW).decode_engine.entry.id
@@ -174,7 +174,7 @@
             plan = pool.place(SHORT)
             self.assertNotEqual(plan.decode_engine.entry.id, reading)
 
-    @in_loop
+    @in_virtual_loop
     def test_long_read_avoids_engines_that_write_short_answers(self):
         pool = Pool(8)
         for _ in range(12):
@@ -205,7 +205,7 @@
 
         run_virtual(run)
 
-    @in_loop
+    @in_virtual_loop
     def test_wave_of_reviews_leaves_short_prompts_in_time(self):
         """Long reads in waves, 2.8 times their usual rate."""
         pool = Pool(21)
@@ -217,7 +217,7 @@
             plan = pool.place(SHORT)
             self.assertLess(plan.first_token_ms, SHORT.target_ms)
 
-    @in_loop
+    @in_virtual_loop
     def test_zone_lost_in_a_burst_still_has_room(self):
         """A burst of short prompts while a third of the engines is gone."""
         pool = Pool(14)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -24,7 +24,7 @@
 def run_with_crash(*, engines, crash_after_s, budget=10, extra_crashes=0):
     """Returns the outcome of a request and the attempts at engines."""
 
-    def tune(settings):
+    def customize_settings(settings):
         settings.routing.retry_budget_floor = budget
         settings.routing.retry_budget_share = 0.0
 
@@ -35,7 +35,7 @@
             plain_services=0,
             engine=EngineOptions(starts_warm=True),
             endpoint={"warm_after": 2},
-            tune=tune,
+            customize_settings=customize_settings,
             connector=SimulatedConnector,
         )
         async with open_fleet(options) as fleet:
--- a/tests/routing/test_team_limits.py
+++ b/tests/routing/test_team_limits.py
@@ -128,7 +128,7 @@
                 team = Team(key_digests=[digest], max_in_flight=1)
                 change = Change(kind=ObjectKind.TEAM, name=TEAM, team=team)
                 await fleet.apply(fleet.ticket([change]))
-                await fleet.wait_in_force()
+                await fleet.wait_until_converged()
                 first = asyncio.create_task(ask(fleet, 0))
                 await asyncio.sleep(2 * INTERVAL_S)  # the usage has spread
                 others = [await ask(fleet, number) for number in range(3)]
--- a/tests/test_whole_path.py
+++ b/tests/test_end_to_end.py
@@ -7,22 +7,22 @@
 import unittest
 
 from tests.processes import (
-    AUTHORIZATION,
+    AUTHORIZATION_HEADERS,
     ProcessFleet,
-    first_ticket,
+    initial_ticket,
     open_process_fleet,
 )
 
 LIMIT_S = 60
 
 
-class WholePathTest(unittest.IsolatedAsyncioTestCase):
+class EndToEndTest(unittest.IsolatedAsyncioTestCase):
     async def complete(self, fleet: ProcessFleet, url: str, tokens: int):
         body = {"model": "chat", "prompt": "hello " * 100, "stream": True}
         async with fleet.session.post(
             url + "/v1/completions",
             json=body | {"max_tokens": tokens},
-            headers=AUTHORIZATION,
+            headers=AUTHORIZATION_HEADERS,
         ) as response:
             self.assertEqual(response.status, 200)
             return await response.text()
@@ -31,7 +31,7 @@
         async with fleet.session.post(
             url + "/services/desk/bookings",
             json={"slot": "9:00"},
-            headers=AUTHORIZATION | {"Idempotency-Key": "k1"},
+            headers=AUTHORIZATION_HEADERS | {"Idempotency-Key": "k1"},
         ) as response:
             return response.status, await response.text()
 
@@ -43,7 +43,7 @@
             await fleet.start_standin("plain-1", "plain")
             first = await fleet.start_daemon("entry-1")
             second = await fleet.start_daemon("entry-2")
-            ticket = first_ticket(fleet.urls)
+            ticket = initial_ticket(fleet.urls)
             self.assertEqual(await fleet.apply("entry-1", ticket), 200)
             await fleet.wait_ready(live=2)
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -11,7 +11,7 @@
 )
 
 
-def in_loop(function):
+def in_virtual_loop(function):
     """Runs a test that is no coroutine in a loop of virtual time."""
 
     @functools.wraps(function)
@@ -24,4 +24,9 @@
     return test
 
 
-__all__ = ["SimulatedConnector", "in_loop", "open_session", "run_virtual"]
+__all__ = [
+    "SimulatedConnector",
+    "in_virtual_loop",
+    "open_session",
+    "run_virtual",
+]
--- a/tools/measure_overhead.py
+++ b/tools/measure_overhead.py
@@ -18,9 +18,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from tests.processes import (
-    AUTHORIZATION,
+    AUTHORIZATION_HEADERS,
     ProcessFleet,
-    first_ticket,
+    initial_ticket,
     open_process_fleet,
 )
 
@@ -58,7 +58,9 @@
     for number in range(PAIRS):
         engine = fleet.urls[f"engine-{number % ENGINES}"]
         direct.append(await first_token_s(fleet.session, engine, {}))
-        routed.append(await first_token_s(fleet.session, url, AUTHORIZATION))
+        routed.append(
+            await first_token_s(fleet.session, url, AUTHORIZATION_HEADERS)
+        )
     added_ms = 1000 * (statistics.median(routed) - statistics.median(direct))
     return {
         "direct_median_ms": round(1000 * statistics.median(direct), 2),
@@ -99,7 +101,9 @@
     started_at = time.perf_counter()
     async with asyncio.TaskGroup() as group:
         for _ in range(count):
-            group.create_task(run_stream(fleet.session, url, AUTHORIZATION))
+            group.create_task(
+                run_stream(fleet.session, url, AUTHORIZATION_HEADERS)
+            )
     routed_s = time.perf_counter() - started_at
     cpu_s = cpu_seconds(pid) - cpu_before_s
     tokens = count * STREAM_TOKENS
@@ -140,7 +144,7 @@
                 "--cache_tokens=0",
             )
         daemon = await fleet.start_daemon("entry-1")
-        ticket = first_ticket(fleet.urls, warm_after=1)
+        ticket = initial_ticket(fleet.urls, warm_after=1)
         for change in ticket["changes"]:
             if change["kind"] == "endpoint":
                 change["endpoint"]["max_running"] = 512
