--- a/src/auburnswitch/experiments/arrivals.py
+++ b/src/auburnswitch/experiments/arrivals.py
@@ -94,7 +94,8 @@
     Args:
         seed: Seed of all draws.
         load: Share of the capacity that is offered.
-        capacity_tokens_per_s: Prompt tokens that all engines prefill in a second.
+        capacity_tokens_per_s: Prompt tokens that all engines prefill in a
+            second.
         daemons: Number of daemons.
         duration_s: Time over which requests arrive, in seconds.
 
