--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -111,17 +111,17 @@
 
 class ColdModelTest(unittest.TestCase):
     def test_late_arrivals(self):
-        self.assertGreater(alone().search(), 100)
+        self.assertGreater(alone().explore_states(), 100)
 
     def test_daemons_that_know_few_others(self):
-        self.assertGreater(apart().search(), 100)
+        self.assertGreater(apart().explore_states(), 100)
 
     def refuted(self, fleet: Fleet, name: str, value: float) -> None:
         with (
             mock.patch.object(module, name, value),
             self.assertRaises(InvariantViolationError),
         ):
-            fleet.search()
+            fleet.explore_states()
 
     def test_window_of_a_second_only(self):
         self.refuted(alone(), "WINDOW_S", SECOND_S - 0.05)
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -213,11 +213,11 @@
         self.assertLessEqual(CONNECT_TIMEOUT_S, TICK_S)
 
     def test_whole_rule(self):
-        self.assertGreater(Rule().search(), 1_000)
+        self.assertGreater(Rule().explore_states(), 1_000)
 
     def refuted(self, **broken) -> None:
         with self.assertRaises(InvariantViolationError):
-            replace(Rule(), **broken).search()
+            replace(Rule(), **broken).explore_states()
 
     def test_some_engines_are_enough(self):
         self.refuted(needs_all=False)
