--- a/tests/members/test_ownership_leases.py
+++ b/tests/members/test_ownership_leases.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.experiments.freezing import FreezableLoop
+from auburnswitch.experiments.freezable_loop import FreezableLoop
 from tests.members.lease_overlap_checker import (
     RESERVATION_TTL_S,
     LeaseOverlapChecker,
--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -15,7 +15,7 @@
 from auburnswitch.routing.send_rate_limiter import SendRateLimiter
 from auburnswitch.schema.entry import BoundSettings
 from auburnswitch.schema.installation import Service
-from tests.model_search import BrokenRuleError, search
+from tests.model_search import InvariantViolationError, explore_states
 
 ENDPOINT = "engine"
 SECOND_S = 1.0
@@ -91,10 +91,12 @@
             0 <= age < last for requests in state for _, age in requests
         )
         if arrived > self.bound:
-            raise BrokenRuleError(f"{arrived} in one second")
+            raise InvariantViolationError(f"{arrived} in one second")
 
-    def search(self) -> int:
-        return search(((),) * self.daemons, self.next_states, self.check)
+    def explore_states(self) -> int:
+        return explore_states(
+            ((),) * self.daemons, self.next_states, self.check
+        )
 
 
 def alone() -> Fleet:
@@ -109,17 +111,17 @@
 
 class ColdModelTest(unittest.TestCase):
     def test_late_arrivals(self):
-        self.assertGreater(alone().search(), 100)
+        self.assertGreater(alone().explore_states(), 100)
 
     def test_daemons_that_know_few_others(self):
-        self.assertGreater(apart().search(), 100)
+        self.assertGreater(apart().explore_states(), 100)
 
     def refuted(self, fleet: Fleet, name: str, value: float) -> None:
         with (
             mock.patch.object(module, name, value),
-            self.assertRaises(BrokenRuleError),
+            self.assertRaises(InvariantViolationError),
         ):
-            fleet.search()
+            fleet.explore_states()
 
     def test_window_of_a_second_only(self):
         self.refuted(alone(), "WINDOW_S", SECOND_S - 0.05)
