--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -155,7 +155,9 @@
             fleet.put_endpoint("engine-1", "engines", State="draining")
             await asyncio.sleep(0.05)
             call = asyncio.create_task(fleet.call("/chat/1", tokens=SHORT))
-            await wait_until(lambda: fleet.runners["engine-0"].received_requests)
+            await wait_until(
+                lambda: fleet.runners["engine-0"].received_requests
+            )
             fleet.put_endpoint("engine-1", "engines")
             status, body, _ = await call
         self.assertEqual(status, 200)
--- a/tests/routing/test_placement_wait.py
+++ b/tests/routing/test_placement_wait.py
@@ -50,7 +50,7 @@
     def allows(self, service, endpoint):
         return True
 
-    def note(self, endpoint):
+    def record_send(self, endpoint):
         pass
 
 
--- a/tools/measure_overhead.py
+++ b/tools/measure_overhead.py
@@ -64,7 +64,9 @@
         engine = fleet.urls[f"engine-{number % ENGINE_COUNT}"]
         direct.append(await time_to_first_token_s(fleet.session, engine, {}))
         routed.append(
-            await time_to_first_token_s(fleet.session, url, AUTHORIZATION_HEADERS)
+            await time_to_first_token_s(
+                fleet.session, url, AUTHORIZATION_HEADERS
+            )
         )
     added_ms = 1000 * (statistics.median(routed) - statistics.median(direct))
     return {
