--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -9,10 +9,10 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from auburnswitch.callers.answers import (
-    answer_object,
-    end_chunk,
-    error_chunk,
+from auburnswitch.callers.completion_format import (
+    completion_object,
+    error_event,
+    final_chunk,
     model_list,
     text_chunk,
 )
@@ -34,12 +34,20 @@
 
     from starlette.requests import Request
 
-    from auburnswitch.callers.parse import Completion, RequestParser
+    from auburnswitch.callers.request_parser import Completion, RequestParser
     from auburnswitch.observe.metrics import Metrics
     from auburnswitch.routing.dispatcher import Dispatcher
     from auburnswitch.routing.plain import PlainRouter
 
-METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
+PLAIN_SERVICE_METHODS = [
+    "GET",
+    "HEAD",
+    "POST",
+    "PUT",
+    "PATCH",
+    "DELETE",
+    "OPTIONS",
+]
 
 
 class CallerApp:
@@ -49,15 +57,15 @@
         parser: Checks requests.
         dispatcher: Runs completions.
         plain: Runs plain requests.
-        refuse_new: Returns why new work is refused, or None.
+        get_admission_refusal: Returns why new work is refused, or None.
     """
 
     __slots__ = (
         "dispatcher",
+        "get_admission_refusal",
         "metrics",
         "parser",
-        "plain",
-        "refuse_new",
+        "plain_router",
     )
 
     def __init__(
@@ -65,15 +73,15 @@
         *,
         parser: RequestParser,
         dispatcher: Dispatcher,
-        plain: PlainRouter,
+        plain_router: PlainRouter,
         metrics: Metrics,
-        refuse_new: Callable[[], Refusal | None],
+        get_admission_refusal: Callable[[], Refusal | None],
     ) -> None:
         self.parser = parser
         self.dispatcher = dispatcher
-        self.plain = plain
+        self.plain_router = plain_router
         self.metrics = metrics
-        self.refuse_new = refuse_new
+        self.get_admission_refusal = get_admission_refusal
 
     def build(self) -> Starlette:
         """Returns the ASGI application."""
@@ -89,7 +97,7 @@
                 Route(
                     "/services/{service}/{path:path}",
                     self._plain_service,
-                    methods=METHODS,
+                    methods=PLAIN_SERVICE_METHODS,
                 ),
             ],
             exception_handlers={
@@ -107,15 +115,15 @@
         return await self._complete(request, chat=True)
 
     async def _models(self, request: Request) -> Response:
-        self.parser.caller(request.headers)
+        self.parser.authenticate(request.headers)
         return JSONResponse(model_list(self.parser.state))
 
     async def _complete(self, request: Request, *, chat: bool) -> Response:
         self._check_open()
-        self.parser.check_headers(request.headers)
-        caller = self.parser.caller(request.headers)
-        raw = await self.parser.body(request)
-        completion = self.parser.completion(
+        self.parser.check_header_size(request.headers)
+        caller = self.parser.authenticate(request.headers)
+        raw = await self.parser.read_body(request)
+        completion = self.parser.parse_completion(
             caller, request.headers, raw, chat=chat
         )
         parts = self.dispatcher.run(completion.request)
@@ -140,9 +148,13 @@
         return EventStreamResponse(
             chunks=self._chunks(completion, first, parts),
             headers=headers,
-            slow_timeout_s=settings.slow_caller_timeout_s,
-            on_gone=lambda: self._count(ResultCode.CALLER_GONE, request_id),
-            on_slow=lambda: self._count(ResultCode.CALLER_TOO_SLOW, request_id),
+            write_timeout_s=settings.slow_caller_timeout_s,
+            on_disconnect=lambda: self._count(
+                ResultCode.CALLER_GONE, request_id
+            ),
+            on_write_timeout=lambda: self._count(
+                ResultCode.CALLER_TOO_SLOW, request_id
+            ),
         )
 
     async def _chunks(
@@ -162,10 +174,10 @@
                 return text_chunk(completion, text)
             case AnswerEnd():
                 self._count(ResultCode.OK, completion.request.id)
-                return end_chunk(completion, part)
+                return final_chunk(completion, part)
             case AnswerFailed(refusal=refused):
                 self._count(refused.code, completion.request.id)
-                return error_chunk(refused)
+                return error_event(refused)
 
     async def _whole(
         self,
@@ -185,16 +197,16 @@
         if isinstance(part, AnswerFailed):
             return self._refused(part.refusal, request_id)
         self._count(ResultCode.OK, request_id)
-        body = answer_object(completion, "".join(text), part)
+        body = completion_object(completion, "".join(text), part)
         return JSONResponse(body, headers=headers)
 
     async def _plain_service(self, request: Request) -> Response:
         self._check_open()
-        self.parser.check_headers(request.headers)
-        caller = self.parser.caller(request.headers)
-        raw = await self.parser.body(request)
+        self.parser.check_header_size(request.headers)
+        caller = self.parser.authenticate(request.headers)
+        raw = await self.parser.read_body(request)
         path = _service_path(request)
-        routed = self.parser.plain(
+        routed = self.parser.parse_plain_request(
             caller,
             request.headers,
             raw,
@@ -207,9 +219,9 @@
             path=path + (f"?{request.url.query}" if request.url.query else ""),
             body=raw,
             headers=_passed_headers(request),
-            idempotency_key=self.parser.idempotency_key(request.headers),
+            idempotency_key=self.parser.parse_idempotency_key(request.headers),
         )
-        outcome = await self.plain.run(routed, call)
+        outcome = await self.plain_router.run(routed, call)
         match outcome:
             case PlainAnswer(status=status, body=body, headers=headers):
                 self._count(ResultCode.OK, routed.id)
@@ -219,7 +231,7 @@
                 return self._refused(outcome, routed.id)
 
     def _check_open(self) -> None:
-        refused = self.refuse_new()
+        refused = self.get_admission_refusal()
         if refused is not None:
             raise RefusalError(refused)
 
--- a/src/auburnswitch/callers/entry_answers.py
+++ b/src/auburnswitch/callers/caller_writer.py
@@ -14,7 +14,7 @@
     from auburnswitch.platform.requests import Headers
 
 
-class RefusedError(Exception):
+class EntryRefusalError(Exception):
     """The daemon answers a request by itself.
 
     Attributes:
@@ -34,14 +34,14 @@
     """Writes one answer to a caller.
 
     Attributes:
-        closes: Returns whether the caller is asked to close its connection.
+        should_close: Returns whether the caller is asked to close its connection.
         started: The status has been written.
     """
 
-    __slots__ = ("closes", "send", "started")
+    __slots__ = ("send", "should_close", "started")
 
-    def __init__(self, *, send: Send, closes: Callable[[], bool]) -> None:
-        self.closes = closes
+    def __init__(self, *, send: Send, should_close: Callable[[], bool]) -> None:
+        self.should_close = should_close
         self.send = send
         self.started = False
 
@@ -52,7 +52,7 @@
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in headers
         ]
-        if self.closes():
+        if self.should_close():
             encoded.append((b"connection", b"close"))
         await self.send(
             {
@@ -72,7 +72,7 @@
         """Ends the body."""
         await self.send({"type": "http.response.body", "body": b""})
 
-    async def refuse(self, refused: RefusedError) -> None:
+    async def refuse(self, refused: EntryRefusalError) -> None:
         """Answers a request by itself."""
         body = f"{refused}\n".encode()
         headers = [
@@ -86,4 +86,4 @@
         await self.finish()
 
 
-__all__ = ["CallerWriter", "RefusedError"]
+__all__ = ["CallerWriter", "EntryRefusalError"]
--- a/src/auburnswitch/callers/answers.py
+++ b/src/auburnswitch/callers/completion_format.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from auburnswitch.callers.parse import Completion
+    from auburnswitch.callers.request_parser import Completion
     from auburnswitch.configuration.state import ConfigState
     from auburnswitch.results import Refusal
     from auburnswitch.routing.dispatcher import AnswerEnd
@@ -22,7 +22,7 @@
     return _event(_base(completion, chunk=True) | {"choices": [choice]})
 
 
-def end_chunk(completion: Completion, end: AnswerEnd) -> bytes:
+def final_chunk(completion: Completion, end: AnswerEnd) -> bytes:
     """Returns the chunks that end a whole answer."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": end.finish_reason}
     choice["delta" if completion.chat else "text"] = (
@@ -32,12 +32,12 @@
     return _event(body | {"usage": end.usage}) + b"data: [DONE]\n\n"
 
 
-def error_chunk(refused: Refusal) -> bytes:
+def error_event(refused: Refusal) -> bytes:
     """Returns the event that ends a broken answer."""
     return b"event: error\n" + _event(refused.to_json())
 
 
-def answer_object(
+def completion_object(
     completion: Completion, text: str, end: AnswerEnd
 ) -> dict[str, Any]:
     """Returns a whole answer as one object."""
@@ -77,9 +77,9 @@
 
 
 __all__ = [
-    "answer_object",
-    "end_chunk",
-    "error_chunk",
+    "completion_object",
+    "final_chunk",
+    "error_event",
     "model_list",
     "text_chunk",
 ]
--- a/src/auburnswitch/callers/entry_app.py
+++ b/src/auburnswitch/callers/entry_app.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Final
 
-from auburnswitch.callers.entry_answers import CallerWriter, RefusedError
+from auburnswitch.callers.caller_writer import CallerWriter, EntryRefusalError
 from auburnswitch.clock import monotonic_s
 from auburnswitch.observe.logs import log_event
 from auburnswitch.platform.requests import decode_request
@@ -36,20 +36,23 @@
 BAD_GATEWAY: Final = 502
 UNAVAILABLE: Final = 503
 GATEWAY_TIMEOUT: Final = 504
-DEFAULT_TIMEOUT_S: Final = 30.0
-RETRY_AFTER_START_S: Final = 0.5
+DEFAULT_ROUTE_TIMEOUT_S: Final = 30.0
+RETRY_AFTER_STARTUP_S: Final = 0.5
 RETRY_AFTER_OUTAGE_S: Final = 3.0  # the store does not answer
-USUAL_START_S: Final = 1.0
-RETRY_AFTER_STOP_S: Final = 0.05  # another daemon takes it at once
-RETRY_AFTER_LOAD_S: Final = (0.6, 1.8)  # spreads those that come back
-RETRY_AFTER_CHANGE_S: Final = (1.5, 3.0)  # endpoints are back after seconds
+EXPECTED_STARTUP_S: Final = 1.0
+RETRY_AFTER_DRAIN_S: Final = 0.05  # another daemon takes it at once
+RETRY_AFTER_OVERLOAD_RANGE_S: Final = (0.6, 1.8)  # spreads those that come back
+RETRY_AFTER_UNAVAILABLE_RANGE_S: Final = (
+    1.5,
+    3.0,
+)  # endpoints are back after seconds
 
 
-class AnswerAborted(Exception):  # noqa: N818
+class ResponseAbortedError(Exception):
     """Ends a connection in the middle of an answer, which shows it as cut."""
 
 
-class CallerGone(Exception):  # noqa: N818
+class CallerDisconnectedError(Exception):
     """The caller closed its connection."""
 
 
@@ -58,8 +61,8 @@
 
     Attributes:
         stopping: Each answer asks the caller to close its connection.
-        refuses: New requests are refused, as they might not end in time.
-        opened_at: Loop time of the daemon's start, in seconds.
+        refuses_requests: New requests are refused, as they might not end in time.
+        started_at: Loop time of the daemon's start, in seconds.
         in_flight: Requests that have been read and not been answered.
     """
 
@@ -68,16 +71,16 @@
         *,
         installation: Installation,
         delivery_runner: DeliveryRunner,
-        chance: random.Random,
+        rng: random.Random,
         statistics: EntryStatistics,
     ) -> None:
         self.statistics = statistics
         self.installation = installation
         self.delivery_runner = delivery_runner
-        self.chance = chance
+        self.rng = rng
         self.stopping = False
-        self.refuses = False
-        self.opened_at = monotonic_s()
+        self.refuses_requests = False
+        self.started_at = monotonic_s()
         self.in_flight = 0
 
     async def __call__(
@@ -96,7 +99,7 @@
             query=scope["query_string"],
             headers=headers,
         )
-        writer = CallerWriter(send=send, closes=lambda: self.stopping)
+        writer = CallerWriter(send=send, should_close=lambda: self.stopping)
         self.in_flight += 1
         try:
             await self._serve(request, headers, receive, writer)
@@ -116,51 +119,53 @@
             self._check_headers(headers, table.config.limits)
             body = await read_body(receive, table.config.limits.max_body_bytes)
             job = self._job(request, body, arrived_at)
-        except RefusedError as refused:
+        except EntryRefusalError as refused:
             await writer.refuse(refused)
             self._log(request, arrived_at, f"refused, {refused}", None)
             return
-        except CallerGone:
+        except CallerDisconnectedError:
             return
         await self._deliver(job, receive, writer)
 
     def _table(self) -> RouteTable:
-        if self.refuses:
-            raise RefusedError(UNAVAILABLE, "stopping", RETRY_AFTER_STOP_S)
+        if self.refuses_requests:
+            raise EntryRefusalError(
+                UNAVAILABLE, "stopping", RETRY_AFTER_DRAIN_S
+            )
         table = self.installation.table
         if table is None or not self.installation.complete:
-            started = monotonic_s() - self.opened_at < USUAL_START_S
-            raise RefusedError(
+            started = monotonic_s() - self.started_at < EXPECTED_STARTUP_S
+            raise EntryRefusalError(
                 UNAVAILABLE,
                 "no configuration yet",
-                RETRY_AFTER_START_S if started else RETRY_AFTER_OUTAGE_S,
+                RETRY_AFTER_STARTUP_S if started else RETRY_AFTER_OUTAGE_S,
             )
         return table
 
     def _check_headers(self, headers: Headers, limits: IngressLimits) -> None:
         size = sum(len(name) + len(value) + 4 for name, value in headers)
         if size > limits.max_header_bytes:
-            raise RefusedError(HEADERS_TOO_LARGE, "headers too large")
+            raise EntryRefusalError(HEADERS_TOO_LARGE, "headers too large")
 
     def _job(
         self, request: CallerRequest, body: bytes, arrived_at: float
     ) -> DeliveryJob:
         table = self._table()
         if not request.id or not request.host:
-            raise RefusedError(BAD_REQUEST, "no request id or no host")
+            raise EntryRefusalError(BAD_REQUEST, "no request id or no host")
         route = table.route(request.host, request.path)
         if route is None:
-            raise RefusedError(NOT_FOUND, "no such route")
+            raise EntryRefusalError(NOT_FOUND, "no such route")
         team = table.team(request.caller_key)
         if team is None and not route.anonymous:
-            raise RefusedError(UNAUTHORIZED, "unknown caller key")
-        name = table.choose_service(route, self.chance)
+            raise EntryRefusalError(UNAUTHORIZED, "unknown caller key")
+        name = table.choose_service(route, self.rng)
         service = table.service(name)
         if service is None:
-            raise RefusedError(
-                UNAVAILABLE, "no such service", RETRY_AFTER_START_S
+            raise EntryRefusalError(
+                UNAVAILABLE, "no such service", RETRY_AFTER_STARTUP_S
             )
-        timeout_s = route.timeout_s or DEFAULT_TIMEOUT_S
+        timeout_s = route.timeout_s or DEFAULT_ROUTE_TIMEOUT_S
         caller_s = request.deadline_s or timeout_s
         return DeliveryJob(
             request=request,
@@ -217,26 +222,26 @@
             case DeliveryFailed(reason=reason):
                 self._log(job.request, job.arrived_at, f"failed, {reason}", job)
         if writer.started:
-            raise AnswerAborted(outcome.reason)
+            raise ResponseAbortedError(outcome.reason)
         await writer.refuse(self._failure(job, outcome))
 
     def _failure(
         self, job: DeliveryJob, failed: DeliveryFailed
-    ) -> RefusedError:
+    ) -> EntryRefusalError:
         if not failed.may_have_run:
-            return RefusedError(
+            return EntryRefusalError(
                 UNAVAILABLE, failed.reason, self._retry_after_s(failed.retry)
             )
         if job.time_left_s() <= 0:
-            return RefusedError(GATEWAY_TIMEOUT, failed.reason)
-        return RefusedError(BAD_GATEWAY, failed.reason)
+            return EntryRefusalError(GATEWAY_TIMEOUT, failed.reason)
+        return EntryRefusalError(BAD_GATEWAY, failed.reason)
 
     def _retry_after_s(self, advice: RetryAdvice) -> float | None:
         match advice:
             case RetryAdvice.SOON:
-                return self.chance.uniform(*RETRY_AFTER_LOAD_S)
+                return self.rng.uniform(*RETRY_AFTER_OVERLOAD_RANGE_S)
             case RetryAdvice.LATER:
-                return self.chance.uniform(*RETRY_AFTER_CHANGE_S)
+                return self.rng.uniform(*RETRY_AFTER_UNAVAILABLE_RANGE_S)
             case RetryAdvice.NEVER:
                 return None
 
@@ -267,18 +272,18 @@
     """Reads a whole body.
 
     Raises:
-        CallerGone: The connection ended first.
+        CallerDisconnectedError: The connection ended first.
     """
     parts: list[bytes] = []
     size = 0
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerGone
+            raise CallerDisconnectedError
         part = message.get("body", b"")
         size += len(part)
         if size > max_bytes:
-            raise RefusedError(BODY_TOO_LARGE, "body too large")
+            raise EntryRefusalError(BODY_TOO_LARGE, "body too large")
         parts.append(part)
         if not message.get("more_body", False):
             return b"".join(parts)
@@ -289,4 +294,4 @@
         pass
 
 
-__all__ = ["AnswerAborted", "CallerGone", "EntryApp"]
+__all__ = ["ResponseAbortedError", "CallerDisconnectedError", "EntryApp"]
--- a/src/auburnswitch/callers/event_stream.py
+++ b/src/auburnswitch/callers/event_stream.py
@@ -22,9 +22,9 @@
 
     Attributes:
         chunks: The chunks of the answer; closed in every case.
-        slow_timeout_s: Longest wait for a caller to read a chunk, in seconds.
-        on_gone: Called when the caller closed the connection.
-        on_slow: Called when the caller did not read in time.
+        write_timeout_s: Longest wait for a caller to read a chunk, in seconds.
+        on_disconnect: Called when the caller closed the connection.
+        on_write_timeout: Called when the caller did not read in time.
     """
 
     def __init__(
@@ -32,17 +32,17 @@
         *,
         chunks: AsyncGenerator[bytes, None],
         headers: Mapping[str, str],
-        slow_timeout_s: float,
-        on_gone: Callable[[], None],
-        on_slow: Callable[[], None],
+        write_timeout_s: float,
+        on_disconnect: Callable[[], None],
+        on_write_timeout: Callable[[], None],
     ) -> None:
         super().__init__(media_type="text/event-stream", headers=headers)
         del self.headers["content-length"]
         self.headers["cache-control"] = "no-cache"
         self.chunks = chunks
-        self.slow_timeout_s = slow_timeout_s
-        self.on_gone = on_gone
-        self.on_slow = on_slow
+        self.write_timeout_s = write_timeout_s
+        self.on_disconnect = on_disconnect
+        self.on_write_timeout = on_write_timeout
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
@@ -55,7 +55,7 @@
                 {sender, watcher}, return_when=asyncio.FIRST_COMPLETED
             )
             if not sender.done():
-                self.on_gone()
+                self.on_disconnect()
         finally:
             watcher.cancel()
             sender.cancel()
@@ -86,13 +86,13 @@
             "more_body": more,
         }
         try:
-            async with asyncio.timeout(self.slow_timeout_s):
+            async with asyncio.timeout(self.write_timeout_s):
                 await send(message)
         except TimeoutError:
-            self.on_slow()
+            self.on_write_timeout()
             return False
         except OSError:
-            self.on_gone()
+            self.on_disconnect()
             return False
         return True
 
--- a/src/auburnswitch/callers/parse.py
+++ b/src/auburnswitch/callers/request_parser.py
@@ -68,7 +68,7 @@
         self.settings = settings
         self.state = state
 
-    def caller(self, headers: Headers) -> Caller:
+    def authenticate(self, headers: Headers) -> Caller:
         """Returns the team that a caller key belongs to.
 
         Raises:
@@ -81,7 +81,7 @@
             raise RefusalError(refusal(ResultCode.BAD_CALLER_KEY))
         return Caller(team=name, weight=self.state.teams[name].weight)
 
-    def check_headers(self, headers: Headers) -> None:
+    def check_header_size(self, headers: Headers) -> None:
         """Checks the size of the headers.
 
         Raises:
@@ -93,7 +93,7 @@
             message = f"headers may have {limit} bytes"
             raise RefusalError(refusal(ResultCode.HEADER_TOO_LARGE, message))
 
-    async def body(self, request: Request) -> bytes:
+    async def read_body(self, request: Request) -> bytes:
         """Reads a body within the configured limit.
 
         Raises:
@@ -115,7 +115,7 @@
             chunks.append(chunk)
         return b"".join(chunks)
 
-    def completion(
+    def parse_completion(
         self, caller: Caller, headers: Headers, raw: bytes, *, chat: bool
     ) -> Completion:
         """Checks a completion request.
@@ -151,7 +151,7 @@
             request=request, stream=stream, chat=chat, model=model
         )
 
-    def plain(
+    def parse_plain_request(
         self,
         caller: Caller,
         headers: Headers,
@@ -192,7 +192,7 @@
             max_attempts=max(1, service.max_attempts) if idempotent else 1,
         )
 
-    def idempotency_key(self, headers: Headers) -> str:
+    def parse_idempotency_key(self, headers: Headers) -> str:
         """Returns the checked idempotency key, empty if there is none.
 
         Raises:
--- a/src/auburnswitch/daemon/parts.py
+++ b/src/auburnswitch/daemon/daemon.py
@@ -8,7 +8,7 @@
 
 from auburnswitch.callers.app import CallerApp
 from auburnswitch.callers.in_flight import InFlightCounter
-from auburnswitch.callers.parse import RequestParser
+from auburnswitch.callers.request_parser import RequestParser
 from auburnswitch.claims.claim_store import ClaimStore
 from auburnswitch.clock import WallClock
 from auburnswitch.configuration.state import ConfigState
@@ -68,7 +68,7 @@
     from auburnswitch.members.peer_connection import Dialer
     from auburnswitch.schema.settings import Settings
 
-DRAIN_POLL_S: Final = 0.05
+DRAIN_POLL_INTERVAL_S: Final = 0.05
 _SEED_BITS: Final = 32
 
 
@@ -128,10 +128,10 @@
         self.termination_detector = TerminationDetector(
             view=self.view, store=self.store
         )
-        self.isolation = IsolationDetector(
+        self.isolation_detector = IsolationDetector(
             view=self.view, get_store_read_at=lambda: self.watcher.read_at
         )
-        self.roster = RosterManager(
+        self.roster_manager = RosterManager(
             store=self.store,
             view=self.view,
             termination_detector=self.termination_detector,
@@ -140,13 +140,13 @@
         )
         self.watcher.handlers[PUBLISHED_PREFIX] = self.tickets.handle_ticket
         self.watcher.handlers[SNAPSHOT_KEY] = self.tickets.handle_snapshot
-        self.poller = TicketPoller(
+        self.ticket_poller = TicketPoller(
             store=self.store,
             tickets=self.tickets,
             is_poller=lambda: self.view.live_ids()[:1] == [self.member.id],
         )
-        self.watcher.handlers[ROSTER_KEY] = self.roster.handle_object
-        self.cleanups = TaskSet()
+        self.watcher.handlers[ROSTER_KEY] = self.roster_manager.handle_object
+        self.cleanup_tasks = TaskSet()
         self._build_members(dial)
         self._build_endpoints(session)
         self._build_routing(seed)
@@ -178,7 +178,7 @@
             view=self.view,
             ownership_leases=self.ownership_leases,
             termination_detector=self.termination_detector,
-            isolation=self.isolation,
+            isolation=self.isolation_detector,
             state=self.state,
             tasks=self.tasks,
             dial=dial,
@@ -200,7 +200,7 @@
         self.endpoint_client = EndpointClient(
             session=session, settings=self.settings.endpoints
         )
-        self.orders = EngineReconciler(
+        self.engine_reconciler = EngineReconciler(
             endpoint_manager=self.endpoint_manager,
             client=self.endpoint_client,
             fencing_numbers=FencingNumberAllocator(
@@ -213,39 +213,39 @@
             ),
             tasks=self.tasks,
         )
-        self.instances = InstanceListReader(
+        self.instance_list_reader = InstanceListReader(
             store=self.store, endpoint_manager=self.endpoint_manager
         )
         self.membership.heartbeat_fillers += [
             self.endpoint_manager.fill_heartbeat,
             self.reservations.fill_heartbeat,
-            self.instances.fill_heartbeat,
+            self.instance_list_reader.fill_heartbeat,
         ]
         self.membership.heartbeat_listeners += [
             self.endpoint_manager.note_heartbeat,
-            self.instances.note_heartbeat,
+            self.instance_list_reader.note_heartbeat,
         ]
         handover = Handover(endpoint_manager=self.endpoint_manager)
         self.membership.handover_fillers.append(handover.fill_request)
         self.membership.handover_listeners.append(handover.apply_request)
-        self.orphans = OrphanCollector(
+        self.orphan_collector = OrphanCollector(
             endpoint_manager=self.endpoint_manager,
             reservations=self.reservations,
             client=self.endpoint_client,
         )
-        self.orphans.register(self.peer_server)
-        self.monitor = LoadMonitor(
+        self.orphan_collector.register(self.peer_server)
+        self.load_monitor = LoadMonitor(
             settings=self.settings,
             endpoint_manager=self.endpoint_manager,
             reservations=self.reservations,
-            orphans=self.orphans,
+            orphans=self.orphan_collector,
             session=session,
             tasks=self.tasks,
         )
 
     def _build_routing(self, seed: int) -> None:
         client = self.endpoint_client
-        self.strikes = StrikeRegistry(
+        self.strike_registry = StrikeRegistry(
             retention_s=self.settings.routing.strike_retention_s
         )
         limits = TeamLimits(
@@ -255,14 +255,18 @@
         )
         self.membership.heartbeat_fillers.append(limits.fill_heartbeat)
         self.membership.heartbeat_listeners.append(limits.note_heartbeat)
-        self.endpoint_manager.is_struck = self.strikes.is_struck
-        self.membership.heartbeat_fillers.append(self.strikes.fill_heartbeat)
-        self.membership.heartbeat_listeners.append(self.strikes.note_heartbeat)
+        self.endpoint_manager.is_struck = self.strike_registry.is_struck
+        self.membership.heartbeat_fillers.append(
+            self.strike_registry.fill_heartbeat
+        )
+        self.membership.heartbeat_listeners.append(
+            self.strike_registry.note_heartbeat
+        )
         placer = Placer(
             endpoint_manager=self.endpoint_manager,
             reservations=self.reservations,
             policy=make_policy(self.settings.routing),
-            strikes=self.strikes,
+            strikes=self.strike_registry,
             seed=seed,
         )
         self.dispatcher = Dispatcher(
@@ -270,9 +274,11 @@
             client=client,
             metrics=self.metrics,
             member_id=self.member.id,
-            cleanups=self.cleanups,
+            cleanups=self.cleanup_tasks,
             crash_detector=CrashDetector(
-                strikes=self.strikes, client=client, membership=self.membership
+                strikes=self.strike_registry,
+                client=client,
+                membership=self.membership,
             ),
             budget=RetryBudget(settings=self.settings.routing),
             limits=limits,
@@ -281,7 +287,7 @@
                 client=client,
                 metrics=self.metrics,
                 member_id=self.member.id,
-                cleanups=self.cleanups,
+                cleanups=self.cleanup_tasks,
             ),
         )
         self.claims = ClaimStore(
@@ -297,7 +303,7 @@
             claims=self.claims, membership=self.membership
         )
         self.claim_forwarder.register(self.peer_server)
-        self.plain = PlainRouter(
+        self.plain_router = PlainRouter(
             placer=placer,
             client=client,
             claims=self.claims,
@@ -311,14 +317,14 @@
         self.caller_app = CallerApp(
             parser=parser,
             dispatcher=self.dispatcher,
-            plain=self.plain,
+            plain_router=self.plain_router,
             metrics=self.metrics,
-            refuse_new=self.refuse_new,
+            get_admission_refusal=self.get_admission_refusal,
         )
         self.in_flight = InFlightCounter(app=self.caller_app.build())
         status = DaemonStatus(
             member=self.member,
-            refuse_new=self.refuse_new,
+            get_admission_refusal=self.get_admission_refusal,
             state=self.state,
             invariants=self.invariants,
             view=self.view,
@@ -334,14 +340,14 @@
             endpoint_manager=self.endpoint_manager,
             metrics=self.metrics,
             clock=self.clock,
-            refuse_new=self.refuse_new,
+            get_admission_refusal=self.get_admission_refusal,
             status=status.to_json,
             in_force=status.in_force,
         )
         self.callers: HttpServer | None = None
         self.operators: HttpServer | None = None
 
-    def refuse_new(self) -> Refusal | None:
+    def get_admission_refusal(self) -> Refusal | None:
         """Returns why new work is refused, or None."""
         if self.stopping:
             return refusal(ResultCode.SHUTTING_DOWN, retry_after_s=1)
@@ -354,28 +360,28 @@
     def start(self) -> None:
         """Starts the background tasks."""
         self.tasks.start(self.watcher.run(), "watcher")
-        self.tasks.start(self.roster.run(), "roster")
+        self.tasks.start(self.roster_manager.run(), "roster")
         self.tasks.start(self.membership.run(), "membership")
-        self.tasks.start(self.poller.run(), "ticket poller")
+        self.tasks.start(self.ticket_poller.run(), "ticket poller")
         refresh = self.watcher.refresh
-        self.tasks.start(self.isolation.run(refresh), "store probe")
-        self.tasks.start(self.monitor.run(), "load monitor")
-        self.tasks.start(self.instances.run(), "instance list")
-        self.tasks.start(self.orders.run(), "orders")
+        self.tasks.start(self.isolation_detector.run(refresh), "store probe")
+        self.tasks.start(self.load_monitor.run(), "load monitor")
+        self.tasks.start(self.instance_list_reader.run(), "instance list")
+        self.tasks.start(self.engine_reconciler.run(), "orders")
 
     async def drain(self) -> None:
         """Refuses new work, finishes what runs and leaves the roster."""
         self.stopping = True
         log_event(EventId.DAEMON_STOPPING, member=self.member.id)
         await self.in_flight.idle.wait()
-        while self.cleanups.tasks:
-            await asyncio.sleep(DRAIN_POLL_S)
+        while self.cleanup_tasks.tasks:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         held = len(self.reservations.held)
         self.invariants.check(not held, Invariant.GRACEFUL_STOP, held=held)
         self.view.leaving = True
         await self.membership.hand_over_leases()
         await asyncio.sleep(self.settings.members.heartbeat_interval_s)
-        await self.roster.leave()
+        await self.roster_manager.leave()
 
 
 __all__ = ["Daemon"]
--- a/src/auburnswitch/daemon/run.py
+++ b/src/auburnswitch/daemon/run.py
@@ -13,7 +13,7 @@
 import fire
 from expression import Result
 
-from auburnswitch.daemon.parts import Daemon
+from auburnswitch.daemon.daemon import Daemon
 from auburnswitch.http_server import ListenError, open_http_server
 from auburnswitch.observe.invariants import Invariants
 from auburnswitch.observe.logs import configure_logs, log_event
@@ -95,7 +95,7 @@
             try:
                 yield daemon
             finally:
-                await daemon.cleanups.cancel()
+                await daemon.cleanup_tasks.cancel()
                 daemon.metrics.close()
 
 
--- a/src/auburnswitch/daemon/status.py
+++ b/src/auburnswitch/daemon/status.py
@@ -23,7 +23,7 @@
 
     Attributes:
         member: This daemon.
-        refuse_new: Returns why new work is refused, or None.
+        get_admission_refusal: Returns why new work is refused, or None.
         state: The configuration in force.
         invariants: Broken promises.
         view: The members.
@@ -35,10 +35,10 @@
 
     __slots__ = (
         "endpoint_manager",
+        "get_admission_refusal",
         "in_flight",
         "invariants",
         "member",
-        "refuse_new",
         "state",
         "store",
         "view",
@@ -49,7 +49,7 @@
         self,
         *,
         member: Member,
-        refuse_new: Callable[[], Refusal | None],
+        get_admission_refusal: Callable[[], Refusal | None],
         state: ConfigState,
         invariants: Invariants,
         view: MemberView,
@@ -59,7 +59,7 @@
         store: ObjectStoreClient,
     ) -> None:
         self.member = member
-        self.refuse_new = refuse_new
+        self.get_admission_refusal = get_admission_refusal
         self.state = state
         self.invariants = invariants
         self.view = view
@@ -85,7 +85,7 @@
 
     def to_json(self) -> dict[str, Any]:
         """Returns the status as JSON types."""
-        refused = self.refuse_new()
+        refused = self.get_admission_refusal()
         violations = self.invariants.violations
         return {
             "member": self.member.id,
--- a/src/auburnswitch/entry/parts.py
+++ b/src/auburnswitch/entry/entry_daemon.py
@@ -45,13 +45,17 @@
     from auburnswitch.schema.gossip import Gossip, WorkItem
 
 EXPIRY_INTERVAL_S: Final = 0.5
-START_S: Final = 1.0  # in which peers are given time to tell their state
-READER_DUTY: Final = "store reader"
-READER_CHECK_S: Final = 0.1
-DAEMONS_IN_GROUP: Final = 8
-MEMBERS_INTERVAL_S: Final = 15.0
-GONE_INTERVALS: Final = 6  # of silence, after which a daemon is forgotten
-UNKNOWN_DAEMONS: Final = 20  # assumed until the others are known
+PEER_DISCOVERY_S: Final = (
+    1.0  # in which peers are given time to tell their state
+)
+READER_ELECTION_KEY: Final = "store reader"
+READER_CHECK_INTERVAL_S: Final = 0.1
+DAEMONS_PER_GROUP: Final = 8
+MEMBER_CHECK_INTERVAL_S: Final = 15.0
+MISSED_INTERVALS_BEFORE_REMOVAL: Final = (
+    6  # of silence, after which a daemon is forgotten
+)
+ASSUMED_DAEMON_COUNT: Final = 20  # assumed until the others are known
 _MS_PER_S: Final = 1000.0
 
 
@@ -65,7 +69,7 @@
         gossip: Datagrams to and from the other daemons.
         stopping: The daemon was told to stop.
         started_at: Loop time of its start, in seconds.
-        members_interval_s: Time between two looks for daemons that are gone.
+        member_check_interval_s: Time between two looks for daemons that are gone.
     """
 
     def __init__(
@@ -73,17 +77,17 @@
         *,
         settings: EntrySettings,
         tasks: TaskSet,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.settings = settings
         self.tasks = tasks
         self.installation = Installation()
-        self.load = FleetLoad()
+        self.fleet_load = FleetLoad()
         self.stopping = False
         self.started_at = monotonic_s()
-        self.members_interval_s = MEMBERS_INTERVAL_S
+        self.member_check_interval_s = MEMBER_CHECK_INTERVAL_S
         self._reader = False
-        self._reader_checked_at = -READER_CHECK_S
+        self._reader_checked_at = -READER_CHECK_INTERVAL_S
         self._told_everywhere: set[int] = set()
         self.store = PlatformStoreClient(settings=settings.store)
         record = DaemonRecord(
@@ -106,24 +110,24 @@
             is_reader=self._is_reader,
             is_cell_peer=self.cells.is_cell_peer,
         )
-        self.exchange = StateExchange(
+        self.state_exchange = StateExchange(
             installation=self.installation,
             key=lambda: self.gossip.key,
             live_peers=self.gossip.live_peers,
             zone=record.zone,
-            rng=chance,
+            rng=rng,
         )
-        self.follower = InstallationWatcher(
+        self.installation_watcher = InstallationWatcher(
             store=self.store,
             installation=self.installation,
             bounds=settings.bounds,
             is_reader=self._is_reader,
         )
-        self.selector = EndpointSelector(
+        self.endpoint_selector = EndpointSelector(
             instance=record.instance,
             zone=record.zone,
             installation=self.installation,
-            load=self.load,
+            load=self.fleet_load,
             health=EndpointHealth(),
             rates=SendRateLimiter(
                 bounds=settings.bounds, count_daemons=self._count_daemons
@@ -131,10 +135,10 @@
             on_change=self._tell_change,
             group=self._group,
             cells=self.cells,
-            rng=chance,
+            rng=rng,
         )
         calls = PlatformEndpointClient()
-        self.memory = MemoryReservations(
+        self.memory_reservations = MemoryReservations(
             calls=calls, prefix=f"{record.instance}-{self.gossip.incarnation}"
         )
         self.crash_registry = CrashRegistry()
@@ -142,16 +146,16 @@
         delivery_runner = DeliveryRunner(
             statistics=self.statistics,
             crash_registry=self.crash_registry,
-            selector=self.selector,
+            selector=self.endpoint_selector,
             calls=calls,
-            memory=self.memory,
+            memory=self.memory_reservations,
             budget=WindowedRetryBudget(
                 bounds=settings.bounds, count_daemons=self._count_daemons
             ),
         )
-        self.observer = LoadObserver(
+        self.load_observer = LoadObserver(
             installation=self.installation,
-            load=self.load,
+            load=self.fleet_load,
             calls=calls,
             instance=record.instance,
             live_instances=lambda: [
@@ -162,7 +166,7 @@
         self.app = EntryApp(
             installation=self.installation,
             delivery_runner=delivery_runner,
-            chance=chance,
+            rng=rng,
             statistics=self.statistics,
         )
         self.installation.listeners.append(self.gossip.send_state)
@@ -175,11 +179,13 @@
     def start(self) -> None:
         """Starts the background tasks."""
         for kind in WATCHED_KINDS:
-            self.tasks.start(self.follower.watch_kind(kind), f"follow {kind}")
+            self.tasks.start(
+                self.installation_watcher.watch_kind(kind), f"follow {kind}"
+            )
         self.tasks.start(self._join(), "join")
         self.tasks.start(self.gossip.run(), "gossip")
         self.tasks.start(self._expire(), "expire")
-        self.tasks.start(self.observer.run(), "observe engines")
+        self.tasks.start(self.load_observer.run(), "observe engines")
         self.tasks.start(self._keep_members(), "keep members")
 
     def gauges(self) -> dict[str, Callable[[], float]]:
@@ -192,7 +198,7 @@
             "endpoints": lambda: len(self.installation.endpoints),
         }
 
-    def begin_stop(self) -> None:
+    def begin_drain(self) -> None:
         """Turns unready; open connections are served on."""
         self.stopping = True
         self.app.stopping = True
@@ -209,11 +215,11 @@
     async def _keep_members(self) -> None:
         """Forgets daemons that are gone; finds others again after a cut."""
         while True:
-            await asyncio.sleep(self.members_interval_s)
+            await asyncio.sleep(self.member_check_interval_s)
             if not self.gossip.key:
                 continue
             gone = self.gossip.remove_silent_peers(
-                GONE_INTERVALS * self.members_interval_s
+                MISSED_INTERVALS_BEFORE_REMOVAL * self.member_check_interval_s
             )
             for instance in gone:
                 log_event(EventId.PEER_FORGOTTEN, peer=instance)
@@ -225,40 +231,40 @@
     async def _expire(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
-            self.load.expire(self.gossip.local_record.instance)
+            self.fleet_load.expire(self.gossip.local_record.instance)
 
     def _group(self) -> str:
         """Returns the group of daemons that prefer the same engines."""
-        groups = max(1, len(self.gossip.peers) // DAEMONS_IN_GROUP)
+        groups = max(1, len(self.gossip.peers) // DAEMONS_PER_GROUP)
         instance = self.gossip.local_record.instance
         return rendezvous_owner(instance, [str(n) for n in range(groups)])
 
     def _count_daemons(self) -> int:
         """Counts the daemons there may be, whether they answer or not."""
         known = 1 + len(self.gossip.peers)
-        return known if self.gossip.key else max(known, UNKNOWN_DAEMONS)
+        return known if self.gossip.key else max(known, ASSUMED_DAEMON_COUNT)
 
     def _is_reader(self) -> bool:
         """Whether this daemon reads the store, for itself and its peers."""
         now = monotonic_s()
-        if now >= self._reader_checked_at + READER_CHECK_S:
+        if now >= self._reader_checked_at + READER_CHECK_INTERVAL_S:
             self._reader_checked_at = now
             self._reader = self._has_reader_duty()
         return self._reader
 
     def _has_reader_duty(self) -> bool:
         if not self.gossip.key:
-            return monotonic_s() - self.started_at > START_S
+            return monotonic_s() - self.started_at > PEER_DISCOVERY_S
         readers = self.settings.store.readers
         live = [peer.record for peer in self.gossip.live_peers()]
-        starting = monotonic_s() - self.started_at < START_S
+        starting = monotonic_s() - self.started_at < PEER_DISCOVERY_S
         if starting:
             live = [peer.record for peer in self.gossip.peers.values()]
         if len(live) < readers:
             return True
         me = self.gossip.local_record.instance
         able = fastest_link_instances([*live, self.gossip.local_record])
-        order = rendezvous_order(READER_DUTY, able)
+        order = rendezvous_order(READER_ELECTION_KEY, able)
         if me in order[:readers]:
             return True
         if starting:
@@ -280,17 +286,17 @@
         message.endpoints_revision = self.installation.endpoints_revision
         message.closed_zones_revision = self.installation.closed_zones_revision
         message.crash_strikes = self.crash_registry.recent_local_crashes()
-        read_at = self.follower.read_at
+        read_at = self.installation_watcher.read_at
         if read_at is not None:
             message.store_read_age_ms = (monotonic_s() - read_at) * _MS_PER_S
 
     def _list_work(self) -> list[WorkItem]:
-        items = self.load.items[self.gossip.local_record.instance]
+        items = self.fleet_load.items[self.gossip.local_record.instance]
         now = monotonic_s()
         for item in items.values():
-            share = self.load.by_endpoint[item.endpoint].work_by_request.get(
-                (self.gossip.local_record.instance, item.id)
-            )
+            share = self.fleet_load.by_endpoint[
+                item.endpoint
+            ].work_by_request.get((self.gossip.local_record.instance, item.id))
             if share is not None:
                 item.remaining_ms = max(0.0, share.ends_at - now) * _MS_PER_S
         return list(items.values())
@@ -318,24 +324,24 @@
     def _note_gossip(self, peer: GossipPeer, message: Gossip) -> None:
         name = peer.record.instance
         if message.complete:
-            self.load.replace(name, message.items)
+            self.fleet_load.replace(name, message.items)
         else:
             for item in message.items:
-                self.load.add(name, item)
-                self.selector.rates.record_fleet_send(item.endpoint)
+                self.fleet_load.add(name, item)
+                self.endpoint_selector.rates.record_fleet_send(item.endpoint)
         self.crash_registry.merge_peer_crashes(message.crash_strikes)
         for report in message.reports:
-            self.observer.apply_report(report)
+            self.load_observer.apply_report(report)
         for number in message.ended:
-            self.load.remove(name, number)
+            self.fleet_load.remove(name, number)
         if message.changes is not None:
             self.installation.change_endpoints(message.changes, f"peer {name}")
         if message.config_changes is not None:
             self.installation.change_config(
                 message.config_changes, f"peer {name}"
             )
-        if self.exchange.is_behind(message):
-            self.tasks.start(self.exchange.catch_up(), "fetch state")
+        if self.state_exchange.is_behind(message):
+            self.tasks.start(self.state_exchange.catch_up(), "fetch state")
 
 
 __all__ = ["EntryDaemon"]
--- a/src/auburnswitch/entry/checks.py
+++ b/src/auburnswitch/entry/monitoring_apps.py
@@ -11,7 +11,7 @@
 
     from starlette.types import Receive, Scope, Send
 
-    from auburnswitch.entry.parts import EntryDaemon
+    from auburnswitch.entry.entry_daemon import EntryDaemon
     from auburnswitch.observe.entry_metrics import EntryMetrics
 
 METRICS_PATH: Final = "/metrics"
--- a/src/auburnswitch/entry/run.py
+++ b/src/auburnswitch/entry/run.py
@@ -12,8 +12,8 @@
 
 from expression import Result
 
-from auburnswitch.entry.checks import MetricsApp, ReadinessApp
-from auburnswitch.entry.parts import EntryDaemon
+from auburnswitch.entry.entry_daemon import EntryDaemon
+from auburnswitch.entry.monitoring_apps import MetricsApp, ReadinessApp
 from auburnswitch.http_server import ListenError, open_http_server
 from auburnswitch.observe.bounded_logs import configure_bounded_logs
 from auburnswitch.observe.logs import log_event
@@ -26,9 +26,9 @@
 
     from auburnswitch.schema.entry import EntrySettings
 
-OUT_OF_ROTATION_S: Final = 2.6  # until no new connections come
+DEREGISTRATION_DELAY_S: Final = 2.6  # until no new connections come
 STOP_MARGIN_S: Final = 0.7
-STOP_POLL_S: Final = 0.05
+DRAIN_POLL_INTERVAL_S: Final = 0.05
 EXIT_OK: Final = 0
 EXIT_BAD_SETTINGS: Final = 2
 EXIT_CANNOT_LISTEN: Final = 3
@@ -52,7 +52,7 @@
         daemon = EntryDaemon(
             settings=settings,
             tasks=tasks,
-            chance=random.Random(),
+            rng=random.Random(),
         )
         listen = settings.listen
         callers = _split(listen.callers)
@@ -60,7 +60,7 @@
         async with (
             _open_metrics(daemon),
             daemon.gossip.open(),
-            daemon.exchange.open(listen.peer_host, listen.peer_port),
+            daemon.state_exchange.open(listen.peer_host, listen.peer_port),
             open_http_server(
                 ReadinessApp(is_ready=lambda: daemon.ready),
                 host=readiness[0],
@@ -95,12 +95,12 @@
     loop = asyncio.get_running_loop()
     stopped_at = loop.time()
     grace_s = daemon.settings.bounds.stop_grace_s - STOP_MARGIN_S
-    daemon.begin_stop()
+    daemon.begin_drain()
     log_event(EventId.ENTRY_STOPPING, in_flight=daemon.app.in_flight)
-    await asyncio.sleep(OUT_OF_ROTATION_S)
+    await asyncio.sleep(DEREGISTRATION_DELAY_S)
     while daemon.app.in_flight and loop.time() < stopped_at + grace_s:
-        daemon.app.refuses = loop.time() > stopped_at + grace_s / 2
-        await asyncio.sleep(STOP_POLL_S)
+        daemon.app.refuses_requests = loop.time() > stopped_at + grace_s / 2
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     log_event(EventId.ENTRY_STOPPED, in_flight=daemon.app.in_flight)
 
 
--- a/src/auburnswitch/experiments/fleet.py
+++ b/src/auburnswitch/experiments/fleet.py
@@ -307,7 +307,9 @@
         daemons = self.daemons.values()
         digests = {daemon.state.digest for daemon in daemons}
         live = {len(daemon.view.live_ids()) for daemon in daemons}
-        ready = all(daemon.refuse_new() is None for daemon in daemons)
+        ready = all(
+            daemon.get_admission_refusal() is None for daemon in daemons
+        )
         return ready and len(digests) == 1 and live == {len(self.daemons)}
 
     def caller_url(self, instance: str) -> str:
--- a/src/auburnswitch/experiments/installation.py
+++ b/src/auburnswitch/experiments/installation.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Mapping, Sequence
 
-    from auburnswitch.entry.parts import EntryDaemon
+    from auburnswitch.entry.entry_daemon import EntryDaemon
     from auburnswitch.standins.runner import Arrival
 
 CALLER_KEYS: Final = ("key-1", "key-2")
--- a/src/auburnswitch/http_client.py
+++ b/src/auburnswitch/http_client.py
@@ -14,7 +14,7 @@
     """The connection broke after a request was perhaps received."""
 
 
-async def send_once(
+async def send_at_most_once(
     request: ClientRequest, handler: ClientHandlerType
 ) -> ClientResponse:
     """Is a client middleware under which a request is sent at most once.
@@ -34,4 +34,4 @@
         raise ConnectionLostError(str(error)) from error
 
 
-__all__ = ["ConnectionLostError", "send_once"]
+__all__ = ["ConnectionLostError", "send_at_most_once"]
--- a/src/auburnswitch/http_exchange.py
+++ b/src/auburnswitch/http_exchange.py
@@ -14,12 +14,12 @@
 
 import h11
 
-from auburnswitch.watched_socket import open_watched_socket
+from auburnswitch.keepalive_socket import open_keepalive_socket
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-MOST_UNREAD_BYTES: Final = 256 * 1024
+MAX_UNREAD_BYTES: Final = 256 * 1024
 MAX_HEAD_BYTES: Final = 64 * 1024
 _LENGTH: Final = "content-length"
 _METHODS_WITHOUT_BODY: Final = ("GET", "HEAD", "OPTIONS", "TRACE")
@@ -57,7 +57,7 @@
         self._parts.append(data)
         self._unread += len(data)
         self._wake.set()
-        if self._unread > MOST_UNREAD_BYTES and not self._paused:
+        if self._unread > MAX_UNREAD_BYTES and not self._paused:
             self._paused = True
             self._transport.pause_reading()
 
@@ -242,7 +242,7 @@
     loop = asyncio.get_running_loop()
     with contextlib.ExitStack() as stack:
         try:
-            opened = stack.enter_context(open_watched_socket())
+            opened = stack.enter_context(open_keepalive_socket())
             opened.setblocking(False)
             async with asyncio.timeout(timeout_s):
                 await loop.sock_connect(opened, (host, port))
@@ -256,7 +256,7 @@
 
 
 __all__ = [
-    "MOST_UNREAD_BYTES",
+    "MAX_UNREAD_BYTES",
     "ConnectError",
     "ExchangeError",
     "HttpExchange",
--- a/src/auburnswitch/object_store/client.py
+++ b/src/auburnswitch/object_store/client.py
@@ -12,7 +12,7 @@
 from expression import Error, Ok, Result
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.http_client import send_once
+from auburnswitch.http_client import send_at_most_once
 from auburnswitch.object_store.call_limiter import (
     CallLimiter,
     CallPriority,
@@ -339,7 +339,7 @@
         self, method: str, path: str, timeout_s: float, **options: Any
     ) -> _Reply | StoreUnavailable:
         url = self.settings.url.rstrip("/") + path
-        middlewares = () if method == "GET" else (send_once,)
+        middlewares = () if method == "GET" else (send_at_most_once,)
         try:
             async with (
                 asyncio.timeout(timeout_s),
--- a/src/auburnswitch/operators/app.py
+++ b/src/auburnswitch/operators/app.py
@@ -12,7 +12,7 @@
 
 from auburnswitch.observe.logs import log_event
 from auburnswitch.operators.audit import AuditFilter, audit_entries
-from auburnswitch.operators.check import check_ticket
+from auburnswitch.operators.ticket_validation import validate_ticket
 from auburnswitch.results import Refusal, RefusalError, refusal
 from auburnswitch.schema.base import SchemaError, from_json, to_json
 from auburnswitch.schema.events import EventId
@@ -38,7 +38,7 @@
         keys: Operator keys; without any, no call that needs one is taken.
         tickets: Accepts and reads tickets.
         endpoint_manager: What is known of the endpoints.
-        refuse_new: Returns why new work is refused, or None.
+        get_admission_refusal: Returns why new work is refused, or None.
         status: Returns the daemon's status as JSON.
         in_force: Returns the daemons in which a ticket is in force, and
             those in which it is not.
@@ -47,10 +47,10 @@
     __slots__ = (
         "clock",
         "endpoint_manager",
+        "get_admission_refusal",
         "in_force",
         "keys",
         "metrics",
-        "refuse_new",
         "status",
         "tickets",
     )
@@ -63,7 +63,7 @@
         endpoint_manager: EndpointManager,
         metrics: Metrics,
         clock: WallClock,
-        refuse_new: Callable[[], Refusal | None],
+        get_admission_refusal: Callable[[], Refusal | None],
         status: Callable[[], dict[str, Any]],
         in_force: Callable[[Ticket], tuple[list[str], list[str]]],
     ) -> None:
@@ -72,7 +72,7 @@
         self.endpoint_manager = endpoint_manager
         self.metrics = metrics
         self.clock = clock
-        self.refuse_new = refuse_new
+        self.get_admission_refusal = get_admission_refusal
         self.status = status
         self.in_force = in_force
 
@@ -98,7 +98,7 @@
         return PlainTextResponse("ok\n")
 
     async def _readyz(self, _: Request) -> Response:
-        refused = self.refuse_new()
+        refused = self.get_admission_refusal()
         if refused is None:
             return PlainTextResponse("ready\n")
         return _refused(refused)
@@ -128,7 +128,7 @@
             ticket = from_json(Ticket, await request.json())
         except (ValueError, SchemaError) as error:
             return self._invalid([str(error)])
-        report = check_ticket(ticket, self.tickets.state)
+        report = validate_ticket(ticket, self.tickets.state)
         if report.errors:
             return self._invalid(report.errors)
         ticket.accepted_at = self.clock.now_s()
--- a/src/auburnswitch/operators/audit.py
+++ b/src/auburnswitch/operators/audit.py
@@ -29,7 +29,7 @@
     author: str = ""
     since: float = -math.inf
 
-    def wants_ticket(self, ticket: Ticket) -> bool:
+    def matches_ticket(self, ticket: Ticket) -> bool:
         """Tells whether changes of a ticket are wanted."""
         if ticket.accepted_at < self.since:
             return False
@@ -38,7 +38,7 @@
             ticket.operator,
         )
 
-    def wants_change(self, change: Change) -> bool:
+    def matches_change(self, change: Change) -> bool:
         """Tells whether a change is wanted."""
         return self.object in ("", change.name, object_name(change))
 
@@ -52,9 +52,9 @@
     tickets: Iterable[Ticket], wanted: AuditFilter
 ) -> Iterator[dict[str, Any]]:
     """Yields who changed what and when, with the object before and after."""
-    for ticket in filter(wanted.wants_ticket, tickets):
+    for ticket in filter(wanted.matches_ticket, tickets):
         before = {object_name(e.change): e for e in ticket.before}
-        for change in filter(wanted.wants_change, ticket.changes):
+        for change in filter(wanted.matches_change, ticket.changes):
             name = object_name(change)
             yield {
                 "number": ticket.number,
--- a/src/auburnswitch/operators/keys.py
+++ b/src/auburnswitch/operators/keys.py
@@ -5,7 +5,7 @@
 import hmac
 from typing import Final
 
-UNNAMED_OPERATOR: Final = "operator"
+DEFAULT_OPERATOR_NAME: Final = "operator"
 
 
 class OperatorKeys:
@@ -25,7 +25,9 @@
             name, colon, key = line.strip().rpartition(b":")
             if key:
                 given = name.decode("utf-8", "replace").strip()
-                self.keys[given if colon else UNNAMED_OPERATOR] = key.strip()
+                self.keys[given if colon else DEFAULT_OPERATOR_NAME] = (
+                    key.strip()
+                )
 
     def find_operator(self, authorization: str) -> str | None:
         """Returns the operator whose bearer key a header has, if any.
@@ -40,4 +42,4 @@
         return found if scheme.lower() == "bearer" else None
 
 
-__all__ = ["UNNAMED_OPERATOR", "OperatorKeys"]
+__all__ = ["DEFAULT_OPERATOR_NAME", "OperatorKeys"]
--- a/src/auburnswitch/operators/check.py
+++ b/src/auburnswitch/operators/ticket_validation.py
@@ -21,13 +21,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-MAX_NUMBER: Final = 10**10 - 1
+MAX_TICKET_NUMBER: Final = 10**10 - 1
 MAX_NAME_LENGTH: Final = 100
 _DIGEST_LENGTH: Final = 64
 
 
 @dataclass(slots=True, kw_only=True)
-class TicketReport:
+class TicketValidationReport:
     """What a check found.
 
     Attributes:
@@ -39,9 +39,11 @@
     warnings: list[str] = field(default_factory=list)
 
 
-def check_ticket(ticket: Ticket, state: ConfigState) -> TicketReport:
+def validate_ticket(
+    ticket: Ticket, state: ConfigState
+) -> TicketValidationReport:
     """Checks a ticket against itself and the state it would make."""
-    report = TicketReport()
+    report = TicketValidationReport()
     report.errors += _check_head(ticket)
     seen: set[tuple[int, str]] = set()
     for change in ticket.changes:
@@ -63,8 +65,8 @@
 
 
 def _check_head(ticket: Ticket) -> Iterator[str]:
-    if not 1 <= ticket.number <= MAX_NUMBER:
-        yield f"number: must be from 1 to {MAX_NUMBER}"
+    if not 1 <= ticket.number <= MAX_TICKET_NUMBER:
+        yield f"number: must be from 1 to {MAX_TICKET_NUMBER}"
     if not ticket.author.strip():
         yield "author: must not be empty"
     if not ticket.changes:
@@ -198,4 +200,4 @@
     return endpoint.leaving or zone is None or zone.out
 
 
-__all__ = ["TicketReport", "check_ticket"]
+__all__ = ["TicketValidationReport", "validate_ticket"]
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -18,7 +18,7 @@
 )
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import Attempt, EndpointFailureError
-from auburnswitch.http_client import send_once
+from auburnswitch.http_client import send_at_most_once
 from auburnswitch.observe.invariants import Invariant, Invariants
 from auburnswitch.results import Refusal, refusal
 from auburnswitch.routing.completion_checks import CompletionChecks
@@ -246,7 +246,7 @@
                 guard=guard,
                 data=call.body,
                 headers=call.headers | attempt.headers(),
-                middlewares=(send_once,),
+                middlewares=(send_at_most_once,),
             ) as response:
                 body = await response.read()
             succeeded = response.status < 500
--- a/src/auburnswitch/soak/callers.py
+++ b/src/auburnswitch/soak/callers.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from auburnswitch.http_client import send_once
+from auburnswitch.http_client import send_at_most_once
 from auburnswitch.soak.fleet import STREAM_EVENTS
 from auburnswitch.standins.callers import is_signed, request_headers
 
@@ -92,7 +92,10 @@
             async with (
                 asyncio.timeout(ANSWER_TIMEOUT_S),
                 session.request(
-                    method, url, headers=headers, middlewares=(send_once,)
+                    method,
+                    url,
+                    headers=headers,
+                    middlewares=(send_at_most_once,),
                 ) as response,
             ):
                 outcome.status = response.status
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -9,7 +9,7 @@
 
 from auburnswitch.configuration.state import ConfigState
 from auburnswitch.observe.invariants import InvariantError, Invariants
-from auburnswitch.operators.check import check_ticket
+from auburnswitch.operators.ticket_validation import validate_ticket
 from auburnswitch.schema.objects import (
     AvailabilityZone,
     Change,
@@ -107,18 +107,18 @@
         drop = Ticket(number=2, author="x", changes=[zone("a", deleted=True)])
         add = Ticket(number=3, author="x", changes=[endpoint("e", "s", "a")])
         for ticket in (drop, add):  # both are checked before either is joined
-            self.assertEqual(check_ticket(ticket, state).errors, [])
+            self.assertEqual(validate_ticket(ticket, state).errors, [])
         state.join_ticket(drop)
         state.join_ticket(add)
         self.assertEqual(state.endpoints, {})
         self.assertIn("e", state.dangling_endpoints)
 
         other = Ticket(number=4, author="x", changes=[zone("b", out=True)])
-        report = check_ticket(other, state)
+        report = validate_ticket(other, state)
         self.assertEqual(report.errors, [])
         self.assertIn("left out", report.warnings[0])
         again = Ticket(number=5, author="x", changes=add.changes)
-        self.assertIn("unknown zone", check_ticket(again, state).errors[0])
+        self.assertIn("unknown zone", validate_ticket(again, state).errors[0])
         state.join_ticket(Ticket(number=6, changes=[zone("a")]))
         self.assertIn("e", state.endpoints)
 
@@ -127,4 +127,4 @@
         changes = [zone("a"), service("s"), endpoint("e", "s", "a")]
         state.join_ticket(Ticket(number=1, changes=changes))
         ticket = Ticket(number=2, author="x", changes=[zone("a", deleted=True)])
-        self.assertIn("unknown zone", check_ticket(ticket, state).errors[0])
+        self.assertIn("unknown zone", validate_ticket(ticket, state).errors[0])
--- a/tests/endpoints/test_unschedulable.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -108,9 +108,9 @@
                 daemons = bench.fleet.daemons
                 await asyncio.sleep(3)
                 reader = next(
-                    d.instances
+                    d.instance_list_reader
                     for d in daemons.values()
-                    if d.instances.last_read_succeeded
+                    if d.instance_list_reader.last_read_succeeded
                 )
 
                 reader.store = FailingStore()
--- a/tests/entry/test_listening.py
+++ b/tests/entry/test_listen_errors.py
@@ -10,7 +10,7 @@
 from auburnswitch.http_server import ListenError
 
 
-class ListeningTest(unittest.IsolatedAsyncioTestCase):
+class ListenErrorTest(unittest.IsolatedAsyncioTestCase):
     async def test_port_for_peers_is_in_use(self):
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
             made = entry_settings("entry", "127.0.0.1:9")
--- a/tests/entry/test_observing.py
+++ b/tests/entry/test_load_observation.py
@@ -7,7 +7,7 @@
 from auburnswitch.experiments.installation import open_installation, until
 
 
-class ObservingTest(unittest.IsolatedAsyncioTestCase):
+class LoadObservationTest(unittest.IsolatedAsyncioTestCase):
     async def test_unknown_work_and_slowness_are_known_to_all(self):
         async with open_installation(daemons=2) as fleet:
             runner = fleet.runners["engine-0"]
@@ -15,8 +15,8 @@
             runner.slowdown = 2.5
             await until(
                 lambda: all(
-                    d.load.by_endpoint["engine-0"].unknown_requests == 3
-                    and d.load.by_endpoint["engine-0"].slowdown == 2.5
+                    d.fleet_load.by_endpoint["engine-0"].unknown_requests == 3
+                    and d.fleet_load.by_endpoint["engine-0"].slowdown == 2.5
                     for d in fleet.daemons
                 )
             )
@@ -24,7 +24,7 @@
             await until(
                 lambda: (
                     not any(
-                        d.load.by_endpoint["engine-0"].unknown_requests
+                        d.fleet_load.by_endpoint["engine-0"].unknown_requests
                         for d in fleet.daemons
                     )
                 )
--- a/tests/entry/test_metrics.py
+++ b/tests/entry/test_metrics.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from auburnswitch.entry.checks import MetricsApp
+from auburnswitch.entry.monitoring_apps import MetricsApp
 from auburnswitch.experiments.installation import open_installation
 from auburnswitch.http_server import open_http_server
 from auburnswitch.observe.statistics import Histogram, length_class
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_state_propagation.py
@@ -17,7 +17,7 @@
     return [e for e in known.endpoints_of("desk") if known.is_open(e)]
 
 
-class FollowingTest(unittest.IsolatedAsyncioTestCase):
+class StatePropagationTest(unittest.IsolatedAsyncioTestCase):
     async def test_key_is_taken_away(self):
         async with open_installation() as fleet:
             self.assertEqual((await fleet.call("/book/1", key="key-2"))[0], 200)
@@ -96,7 +96,7 @@
             call = asyncio.create_task(fleet.call("/chat/1", tokens="900,50"))
             await until(
                 lambda: all(
-                    d.load.by_endpoint["engine-0"].decode_count == 1
+                    d.fleet_load.by_endpoint["engine-0"].decode_count == 1
                     for d in fleet.daemons
                 )
             )
@@ -104,7 +104,7 @@
             await until(
                 lambda: (
                     not any(
-                        d.load.by_endpoint["engine-0"].work_by_request
+                        d.fleet_load.by_endpoint["engine-0"].work_by_request
                         for d in fleet.daemons
                     )
                 ),
@@ -118,7 +118,7 @@
             fleet.store.put("auburnswitch-daemons", "gone", record)
             daemon.gossip.add_peer(DaemonRecord(**record, port=9))
             self.assertEqual(daemon._count_daemons(), 2)
-            daemon.members_interval_s = 0.05
+            daemon.member_check_interval_s = 0.05
             daemon.tasks.start(daemon._keep_members(), "keep members")
             known = fleet.store.objects["auburnswitch-daemons"]
             await until(lambda: "gone" not in known)
@@ -131,7 +131,7 @@
             await until(lambda: first.gossip.live_peers())
             for daemon in fleet.daemons:
                 daemon.gossip.peers.clear()
-                daemon.members_interval_s = 0.2
+                daemon.member_check_interval_s = 0.2
                 daemon.tasks.start(daemon._keep_members(), "keep members")
             await until(
                 lambda: first.gossip.live_peers() and second.gossip.live_peers()
@@ -156,7 +156,7 @@
         async with open_installation(desks=1) as fleet:
             known = fleet.daemons[0].installation
             fleet.store.down = True
-            await until(lambda: fleet.daemons[0].follower.failed_at)
+            await until(lambda: fleet.daemons[0].installation_watcher.failed_at)
             fleet.store.remove("servers", "desk-0")
             fleet.store.down = False
             await until(lambda: known.endpoints["desk-0"].removal_due_at)
--- a/tests/members/test_isolation.py
+++ b/tests/members/test_isolation.py
@@ -20,7 +20,7 @@
 
 def refusing(fleet: Fleet) -> set[str]:
     """Returns the daemons that refuse new work, all as isolated."""
-    refusals = {n: d.refuse_new() for n, d in fleet.daemons.items()}
+    refusals = {n: d.get_admission_refusal() for n, d in fleet.daemons.items()}
     refused = {n: r for n, r in refusals.items() if r is not None}
     assert all(r.code == ResultCode.ISOLATED for r in refused.values())
     return set(refused)
--- a/tests/members/test_outage.py
+++ b/tests/members/test_outage.py
@@ -34,13 +34,15 @@
 
                     fleet.options.tune = seeded
                     new = await fleet.start_daemon(DAEMONS + number)
-                    await until(lambda new=new: not new.refuse_new(), SEEN_S)
+                    await until(
+                        lambda new=new: not new.get_admission_refusal(), SEEN_S
+                    )
                     await fleet.stop_daemon(number, graceful=number % 2 == 0)
                     fleet.platform.instances.remove(f"entry-{number}")
                     for _ in range(STEP_S // 2):
                         await asyncio.sleep(2)
                         for daemon in fleet.daemons.values():
-                            self.assertIsNone(daemon.refuse_new())
+                            self.assertIsNone(daemon.get_admission_refusal())
                 fleet.platform.outage = False
                 return await until(lambda: agreed(fleet), 60)
 
--- a/tests/members/test_roster.py
+++ b/tests/members/test_roster.py
@@ -120,7 +120,9 @@
                 events = {record.event for record in logs.records}
                 self.assertIn(EventId.STRICT_RIGHTS_WAITING, events)
                 daemon = fleet.daemons["entry-3"]
-                self.assertIsNone(daemon.refuse_new())  # soft rights go on
+                self.assertIsNone(
+                    daemon.get_admission_refusal()
+                )  # soft rights go on
                 remove_instances(fleet, [0, 1, 2])
                 return await until(lambda: agreed(fleet), 30)
 
--- a/tests/platform/test_endpoint_client.py
+++ b/tests/platform/test_endpoint_client.py
@@ -8,7 +8,7 @@
 import struct
 import unittest
 
-from auburnswitch.http_exchange import MOST_UNREAD_BYTES
+from auburnswitch.http_exchange import MAX_UNREAD_BYTES
 from auburnswitch.platform.endpoint_client import (
     BrokenResponse,
     PlatformEndpointClient,
@@ -125,7 +125,7 @@
         self.assertEqual(body, b"ok")
 
     async def test_body_larger_than_what_is_kept_unread(self):
-        body = b"x" * (4 * MOST_UNREAD_BYTES)
+        body = b"x" * (4 * MAX_UNREAD_BYTES)
         head = HEAD + b"Content-Length: %d\r\n\r\n" % len(body)
         _, read = await call(RawEndpoint(head + body))
         self.assertEqual(read, body)
