--- a/src/auburnswitch/callers/caller_writer.py
+++ b/src/auburnswitch/callers/caller_writer.py
@@ -34,7 +34,8 @@
     """Writes one answer to a caller.
 
     Attributes:
-        should_close: Returns whether the caller is asked to close its connection.
+        should_close: Returns whether the caller is asked to close its
+            connection.
         started: The status has been written.
     """
 
--- a/src/auburnswitch/callers/entry_app.py
+++ b/src/auburnswitch/callers/entry_app.py
@@ -61,7 +61,8 @@
 
     Attributes:
         stopping: Each answer asks the caller to close its connection.
-        refuses_requests: New requests are refused, as they might not end in time.
+        refuses_requests: New requests are refused, as they might not end in
+            time.
         started_at: Loop time of the daemon's start, in seconds.
         in_flight: Requests that have been read and not been answered.
     """
--- a/src/auburnswitch/entry/entry_daemon.py
+++ b/src/auburnswitch/entry/entry_daemon.py
@@ -69,7 +69,8 @@
         gossip: Datagrams to and from the other daemons.
         stopping: The daemon was told to stop.
         started_at: Loop time of its start, in seconds.
-        member_check_interval_s: Time between two looks for daemons that are gone.
+        member_check_interval_s: Time between two looks for daemons that are
+            gone.
     """
 
     def __init__(
