--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -56,7 +56,7 @@
     Attributes:
         parser: Checks requests.
         dispatcher: Runs completions.
-        plain: Runs plain requests.
+        plain_router: Runs plain requests.
         get_admission_refusal: Returns why new work is refused, or None.
     """
 
