--- a/src/auburnswitch/experiments/installation.py
+++ b/src/auburnswitch/experiments/installation.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Mapping, Sequence
 
-    from auburnswitch.entry.parts import EntryDaemon
+    from auburnswitch.entry.entry_daemon import EntryDaemon
     from auburnswitch.standins.endpoint import ReceivedRequest
 
 CALLER_KEYS: Final = ("key-1", "key-2")
--- a/src/auburnswitch/soak/workload_generator.py
+++ b/src/auburnswitch/soak/workload_generator.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from auburnswitch.http_client import send_once
+from auburnswitch.http_client import send_at_most_once
 from auburnswitch.soak.fleet import STREAM_EVENTS
 from auburnswitch.standins.caller_headers import is_signed, request_headers
 
@@ -94,7 +94,10 @@
             async with (
                 asyncio.timeout(RESPONSE_TIMEOUT_S),
                 session.request(
-                    method, url, headers=headers, middlewares=(send_once,)
+                    method,
+                    url,
+                    headers=headers,
+                    middlewares=(send_at_most_once,),
                 ) as response,
             ):
                 outcome.status = response.status
