--- a/tests/entry/test_state_propagation.py
+++ b/tests/entry/test_state_propagation.py
@@ -158,7 +158,9 @@
         async with open_installation(plain_services=1) as fleet:
             known = fleet.daemons[0].installation
             fleet.store.unavailable = True
-            await wait_until(lambda: fleet.daemons[0].installation_watcher.failed_at)
+            await wait_until(
+                lambda: fleet.daemons[0].installation_watcher.failed_at
+            )
             fleet.store.remove("servers", "desk-0")
             fleet.store.unavailable = False
             await wait_until(lambda: known.endpoints["desk-0"].removal_due_at)
