--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -209,7 +209,7 @@
             case Delivered():
                 health.note_success(endpoint)
             case AttemptFailed(sent=True, may_have_run=False, reason=reason):
-                self.selector.load.by_endpoint[endpoint].note_full()
+                self.selector.load.by_endpoint[endpoint].record_full()
                 health.note_failure(endpoint, reason, SOFT_FAILURE_WEIGHT)
             case AttemptFailed(head=ResponseHead()):
                 health.note_failure(
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -186,7 +186,7 @@
     async def _place(
         self, request: RoutedRequest, excluded: set[str]
     ) -> HeldReservation | GroupReservation | Refusal:
-        if self.groups.group_placer.is_needed(request):
+        if self.groups.group_placer.needs_group(request):
             return await self.groups.group_placer.place(request, excluded)
         return await self.placer.place(request, excluded)
 
--- a/src/auburnswitch/routing/endpoint_selector.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -130,16 +130,16 @@
         needed = engines_needed(model, tokens)
         if needed is None or usable < needed:
             return False
-        soonest_ms = min_prefill_ms(model, request.prompt_tokens, usable)
-        return soonest_ms <= job.time_left_s() * _MS_PER_S
+        prefill_ms = min_prefill_ms(model, request.prompt_tokens, usable)
+        return prefill_ms <= job.time_left_s() * _MS_PER_S
 
     def _count_usable(self, job: DeliveryJob) -> int:
         """Counts the open endpoints, up to as many as ever serve together."""
         usable = (
-            known
-            for known in self.installation.endpoints_of(job.service.name)
-            if self.installation.is_open(known)
-            and known.entry.id not in job.excluded
+            endpoint
+            for endpoint in self.installation.endpoints_of(job.service.name)
+            if self.installation.is_open(endpoint)
+            and endpoint.entry.id not in job.excluded
         )
         return sum(1 for _ in itertools.islice(usable, MAX_ENGINES))
 
@@ -150,28 +150,36 @@
         """
         service = job.service.name
         if not self.cells.spans_cells(service):
-            return self._choose_of(job, self.installation.endpoints_of(service))
-        placement = self._choose_of(job, self.cells.cell_endpoints(service))
+            return self._choose_from(
+                job, self.installation.endpoints_of(service)
+            )
+        placement = self._choose_from(job, self.cells.cell_endpoints(service))
         if placement is not None and not (
             placement.late or placement.delays_others
         ):
             return placement
-        others = self.installation.endpoints_of(service)
-        some = self.rng.sample(others, min(len(others), FALLBACK_SAMPLE_SIZE))
-        return self._choose_of(job, some) or placement
+        all_endpoints = self.installation.endpoints_of(service)
+        sample = self.rng.sample(
+            all_endpoints, min(len(all_endpoints), FALLBACK_SAMPLE_SIZE)
+        )
+        return self._choose_from(job, sample) or placement
 
-    def _choose_of(
+    def _choose_from(
         self, job: DeliveryJob, candidates: Iterable[KnownEndpoint]
     ) -> Placement | None:
         usable = [
-            known
-            for known in candidates
-            if self.installation.is_open(known)
-            and known.entry.id not in job.excluded
-            and self.rates.allows(job.service, known.entry.id)
+            endpoint
+            for endpoint in candidates
+            if self.installation.is_open(endpoint)
+            and endpoint.entry.id not in job.excluded
+            and self.rates.allows(job.service, endpoint.entry.id)
+        ]
+        healthy = [
+            endpoint
+            for endpoint in usable
+            if not self.health.is_suspect(endpoint.entry.id)
         ]
-        sound = [k for k in usable if not self.health.is_suspect(k.entry.id)]
-        for candidates in (sound, usable):
+        for candidates in (healthy, usable):
             if job.service.engine is not None and job.request.prompt_tokens:
                 placement = self._choose_engines(
                     job, job.service.engine, candidates
@@ -201,9 +209,9 @@
         self.load.add(self.instance, placement.item)
         self.on_change([placement.item], [])
 
-    def note_prefilled(self, placement: Placement) -> None:
+    def record_prefilled(self, placement: Placement) -> None:
         """Notes that the prompt of a placement has been read."""
-        self.load.note_prefilled(self.instance, placement.item.id)
+        self.load.record_prefilled(self.instance, placement.item.id)
 
     def end(self, placement: Placement) -> None:
         """Ends the work of a placement and tells the peers."""
@@ -212,25 +220,29 @@
 
     def find_by_address(self, address: str) -> str | None:
         """Returns the id of the endpoint at an address, None if unknown."""
-        for known in self.installation.endpoints.values():
-            if f"{known.entry.host}:{known.entry.port}" == address:
-                return known.entry.id
+        for endpoint in self.installation.endpoints.values():
+            if f"{endpoint.entry.host}:{endpoint.entry.port}" == address:
+                return endpoint.entry.id
         return None
 
     def _choose_plain(
         self, candidates: list[KnownEndpoint]
     ) -> Placement | None:
-        def rank(known: KnownEndpoint) -> tuple[float, bool, float]:
-            pending = len(self.load.by_endpoint[known.entry.id].work_by_request)
-            elsewhere = known.entry.zone != self.zone
-            return pending, elsewhere, self.rng.random()
+        def rank(endpoint: KnownEndpoint) -> tuple[float, bool, float]:
+            pending = len(
+                self.load.by_endpoint[endpoint.entry.id].work_by_request
+            )
+            in_other_zone = endpoint.entry.zone != self.zone
+            return pending, in_other_zone, self.rng.random()
 
         best = min(candidates, key=rank, default=None)
         if best is None:
             return None
         if rank(best)[0] >= best.entry.slots + MAX_PLAIN_QUEUED:
             return None
-        item = self._item(endpoint=best.entry.id, remaining_ms=PLAIN_REQUEST_MS)
+        item = self._make_item(
+            endpoint=best.entry.id, remaining_ms=PLAIN_REQUEST_MS
+        )
         return Placement(endpoint=best, helpers=[], item=item, first_token_s=0)
 
     def _choose_engines(
@@ -247,11 +259,14 @@
             target_ms=max(0.0, job.target_time_left_s()) * _MS_PER_S,
             target_gap_ms=job.route.target_gap_s * _MS_PER_S,
         )
-        loads = [(k, self.load.by_endpoint[k.entry.id]) for k in shuffled]
+        loads = [
+            (endpoint, self.load.by_endpoint[endpoint.entry.id])
+            for endpoint in shuffled
+        ]
         plan = plan_prefill(model, prompt, loads, now, self._tie_break(prompt))
         if plan is None:
             return None
-        return self._placement(plan, model, prompt)
+        return self._make_placement(plan, model, prompt)
 
     def _tie_break(self, prompt: PromptRequirements) -> str:
         """Returns whose order decides between equally good engines.
@@ -266,7 +281,7 @@
             else self.group()
         )
 
-    def _placement(
+    def _make_placement(
         self, plan: PrefillPlan, model: EngineModel, prompt: PromptRequirements
     ) -> Placement:
         writers = (
@@ -276,7 +291,7 @@
             model, prompt.answer_tokens, writers, prompt.tokens
         )
         remaining_ms = plan.first_token_ms + answer_ms
-        item = self._item(
+        item = self._make_item(
             endpoint=plan.decode_engine.entry.id,
             helpers=[helper.entry.id for helper in plan.helpers],
             read_ms=plan.part_ms,
@@ -296,7 +311,7 @@
             delays_others=plan.interference_cost > 0,
         )
 
-    def _item(self, **values: object) -> WorkItem:
+    def _make_item(self, **values: object) -> WorkItem:
         self._next_id += 1
         return WorkItem(id=self._next_id, **values)  # type: ignore[arg-type]
 
--- a/src/auburnswitch/routing/engine_candidate.py
+++ b/src/auburnswitch/routing/engine_candidate.py
@@ -53,7 +53,7 @@
     """One candidate, with its load as of the decision.
 
     Attributes:
-        known: The endpoint.
+        endpoint: The endpoint.
         backlog_ms: Reading that is under way or waits.
         decode_count: Answers that are or will be written there.
         helper_prefill_count: Prompts that are read there for other engines.
@@ -74,12 +74,12 @@
     __slots__ = (
         "backlog_ms",
         "decode_count",
+        "endpoint",
         "free_tokens",
         "has_late_prefills",
         "helper_prefill_count",
         "is_full",
         "joint_prefills",
-        "known",
         "pass_ms",
         "slack_ms",
         "slowdown",
@@ -91,19 +91,19 @@
     def __init__(
         self,
         *,
-        known: KnownEndpoint,
+        endpoint: KnownEndpoint,
         load: EndpointLoad,
         model: EngineModel,
         prompt: PromptRequirements,
         now: float,
     ) -> None:
-        self.known = known
+        self.endpoint = endpoint
         self.backlog_ms = load.backlog_ms(now)
         self.target_gaps_ms = load.target_gaps_ms()
         self.joint_prefills = load.joint_prefills(now)
-        spare = [_spare_ms(share) for share in self.joint_prefills.values()]
-        self.slack_ms = min((s for s in spare if s >= 0), default=math.inf)
-        self.has_late_prefills = any(s < 0 for s in spare)
+        slacks_ms = [_slack_ms(work) for work in self.joint_prefills.values()]
+        self.slack_ms = min((s for s in slacks_ms if s >= 0), default=math.inf)
+        self.has_late_prefills = any(s < 0 for s in slacks_ms)
         self.helper_prefill_count = len(load.work_by_request) - len(
             self.target_gaps_ms
         )
@@ -111,9 +111,13 @@
         self.slowdown = load.slowdown
         self.is_full = load.is_full
         self.tie_break_penalty_ms = 0.0
-        used = load.memory_tokens
-        self.free_tokens = model.memory_tokens * USABLE_MEMORY_SHARE - used
-        pass_ms = engine_latency.pass_ms(model, self.decode_count + 1, used)
+        used_tokens = load.memory_tokens
+        self.free_tokens = (
+            model.memory_tokens * USABLE_MEMORY_SHARE - used_tokens
+        )
+        pass_ms = engine_latency.pass_ms(
+            model, self.decode_count + 1, used_tokens
+        )
         self.pass_ms = pass_ms * self.slowdown
         tight_ms = prompt.target_gap_ms * TIGHT_GAP_RATIO
         self.tight_gap_count = sum(
@@ -138,8 +142,8 @@
         """Returns the longest part that keeps all pauses short enough."""
         if not self.target_gaps_ms:
             return math.inf
-        taken_ms = self.pass_ms + self.backlog_ms
-        return min(self.target_gaps_ms) * gap_share - taken_ms
+        current_gap_ms = self.pass_ms + self.backlog_ms
+        return min(self.target_gaps_ms) * gap_share - current_gap_ms
 
     def accepts_part(
         self, part_ms: float, delayable: DelayablePrefills
@@ -155,26 +159,26 @@
 
     def interference_cost(self, part_ms: float) -> float:
         """Returns the weight of the answers that a part makes late."""
-        before_ms = self.pass_ms + self.backlog_ms
+        current_gap_ms = self.pass_ms + self.backlog_ms
         return sum(
             answer_weight(gap_ms)
             for gap_ms in self.target_gaps_ms
-            if before_ms <= gap_ms < before_ms + part_ms
+            if current_gap_ms <= gap_ms < current_gap_ms + part_ms
         )
 
 
-def _spare_ms(share: EndpointWork) -> float:
-    left_s = share.due_at - share.prefill_ends_at
-    return left_s * _MS_PER_S - SLACK_MARGIN_MS
+def _slack_ms(work: EndpointWork) -> float:
+    slack_s = work.due_at - work.prefill_ends_at
+    return slack_s * _MS_PER_S - SLACK_MARGIN_MS
 
 
-def prefill_delay_cost(share: EndpointWork, part_ms: float) -> float:
+def prefill_delay_cost(work: EndpointWork, part_ms: float) -> float:
     """Returns what it costs to hold up a joint read by a part of another."""
-    slack_ms = _spare_ms(share)
+    slack_ms = _slack_ms(work)
     if part_ms <= slack_ms:
         return 0.0
-    whole = answer_weight(share.target_gap_ms)
-    return whole if slack_ms >= 0 else whole * LATE_WEIGHT_SHARE
+    full_cost = answer_weight(work.target_gap_ms)
+    return full_cost if slack_ms >= 0 else full_cost * LATE_WEIGHT_SHARE
 
 
 def answer_weight(gap_ms: float) -> float:
--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -45,7 +45,7 @@
     memory_tokens: int
     target_gap_ms: float
     decodes_here: bool
-    writing: bool = False
+    prefilled: bool = False
     joint: bool = False
 
 
@@ -61,8 +61,8 @@
 
     __slots__ = (
         "_full_until",
-        "_observed_at",
         "_report",
+        "_reported_at",
         "prefill_ends_at",
         "recent_end_times",
         "work_by_request",
@@ -74,14 +74,14 @@
         self.recent_end_times: deque[float] = deque(maxlen=MAX_RECENT_END_TIMES)
         self._report = EngineReport()
         self._full_until = 0.0
-        self._observed_at = -REPORT_TTL_S
+        self._reported_at = -REPORT_TTL_S
 
-    def observe(self, report: EngineReport) -> None:
+    def apply_report(self, report: EngineReport) -> None:
         """Takes over what the endpoint reported."""
         self._report = report
-        self._observed_at = monotonic_s()
+        self._reported_at = monotonic_s()
 
-    def note_full(self) -> None:
+    def record_full(self) -> None:
         """Notes that the endpoint refused a request for want of room."""
         self._full_until = monotonic_s() + FULL_TTL_S
 
@@ -90,23 +90,23 @@
         """Whether it refused a request a moment ago."""
         return monotonic_s() < self._full_until
 
-    def _is_observed(self) -> bool:
-        return monotonic_s() - self._observed_at < REPORT_TTL_S
+    def _has_fresh_report(self) -> bool:
+        return monotonic_s() - self._reported_at < REPORT_TTL_S
 
     @property
     def unknown_requests(self) -> int:
         """Requests there that no daemon is known to have."""
-        return self._report.unknown_requests if self._is_observed() else 0
+        return self._report.unknown_requests if self._has_fresh_report() else 0
 
     @property
     def unknown_tokens(self) -> int:
         """Memory in use there that no daemon is known to need."""
-        return self._report.unknown_tokens if self._is_observed() else 0
+        return self._report.unknown_tokens if self._has_fresh_report() else 0
 
     @property
     def slowdown(self) -> float:
         """Time that its work takes, relative to the usual."""
-        if not self._is_observed():
+        if not self._has_fresh_report():
             return 1.0
         return max(1.0, self._report.slowdown)
 
@@ -114,7 +114,7 @@
         """Counts requests that a late report may still include."""
         since = monotonic_s() - REPORT_MAX_LAG_S
         return len(self.work_by_request) + sum(
-            at >= since for at in self.recent_end_times
+            ended_at >= since for ended_at in self.recent_end_times
         )
 
     def backlog_ms(self, now: float) -> float:
@@ -124,23 +124,21 @@
     def joint_prefills(self, now: float) -> dict[tuple[str, int], EndpointWork]:
         """Returns joint reads that are not believed to be done here."""
         return {
-            key: share
-            for key, share in self.work_by_request.items()
-            if share.joint and not share.writing and share.prefill_ends_at > now
+            key: work
+            for key, work in self.work_by_request.items()
+            if work.joint and not work.prefilled and work.prefill_ends_at > now
         }
 
     def delay_prefills(self, since: float, delay_s: float) -> None:
         """Moves all reading that ends after a loop time."""
-        for share in self.work_by_request.values():
-            if share.prefill_ends_at > since:
-                share.prefill_ends_at += delay_s
+        for work in self.work_by_request.values():
+            if work.prefill_ends_at > since:
+                work.prefill_ends_at += delay_s
 
     @property
     def decode_count(self) -> int:
         """Requests whose answers are or will be written here."""
-        return sum(
-            share.decodes_here for share in self.work_by_request.values()
-        )
+        return sum(work.decodes_here for work in self.work_by_request.values())
 
     @property
     def helper_prefill_count(self) -> int:
@@ -150,10 +148,10 @@
     @property
     def memory_tokens(self) -> int:
         """Memory that is used here."""
-        known = sum(
-            share.memory_tokens for share in self.work_by_request.values()
+        tracked_tokens = sum(
+            work.memory_tokens for work in self.work_by_request.values()
         )
-        return known + self.unknown_tokens
+        return tracked_tokens + self.unknown_tokens
 
     def target_gaps_ms(self) -> list[float]:
         """Returns the allowed pauses of the answers written here."""
@@ -182,20 +180,20 @@
 
     def add(self, daemon: str, item: WorkItem) -> None:
         """Adds a request, or updates one that is known."""
-        known = self.items[daemon].get(item.id)
-        if known is not None and known.endpoint == item.endpoint:
-            if item.writing and not known.writing:
-                self.note_prefilled(daemon, item.id)
-            self._extend(daemon, item)
+        current = self.items[daemon].get(item.id)
+        if current is not None and current.endpoint == item.endpoint:
+            if item.writing and not current.writing:
+                self.record_prefilled(daemon, item.id)
+            self._extend_end(daemon, item)
             return
-        if known is not None:
+        if current is not None:
             self.remove(daemon, item.id)
         self.items[daemon][item.id] = item
-        self._place(daemon, item, item.endpoint, item.memory_tokens)
-        for number, helper in enumerate(item.helpers):
-            holds = number < item.holders
-            memory = item.helper_memory_tokens if holds else 0
-            self._place(daemon, item, helper, memory)
+        self._add_work(daemon, item, item.endpoint, item.memory_tokens)
+        for index, helper in enumerate(item.helpers):
+            is_holder = index < item.holders
+            memory = item.helper_memory_tokens if is_holder else 0
+            self._add_work(daemon, item, helper, memory)
 
     def remove(self, daemon: str, item_id: int) -> None:
         """Removes a request that has ended."""
@@ -204,20 +202,20 @@
             return
         for endpoint in (item.endpoint, *item.helpers):
             load = self.by_endpoint[endpoint]
-            share = load.work_by_request.pop((daemon, item_id), None)
-            if share is not None:
-                _end_reading(load, share)
+            work = load.work_by_request.pop((daemon, item_id), None)
+            if work is not None:
+                _end_prefill(load, work)
                 load.recent_end_times.append(monotonic_s())
 
     def replace(self, daemon: str, items: list[WorkItem]) -> None:
         """Takes over all requests of a daemon."""
-        present = {item.id for item in items}
-        for item_id in self.items[daemon].keys() - present:
+        current_ids = {item.id for item in items}
+        for item_id in self.items[daemon].keys() - current_ids:
             self.remove(daemon, item_id)
         for item in items:
             self.add(daemon, item)
 
-    def note_prefilled(self, daemon: str, item_id: int) -> None:
+    def record_prefilled(self, daemon: str, item_id: int) -> None:
         """Notes that a prompt has been read completely."""
         item = self.items[daemon].get(item_id)
         if item is None or item.writing:
@@ -225,12 +223,12 @@
         item.writing = True
         for endpoint in (item.endpoint, *item.helpers):
             load = self.by_endpoint[endpoint]
-            share = load.work_by_request.get((daemon, item_id))
-            if share is None:
+            work = load.work_by_request.get((daemon, item_id))
+            if work is None:
                 continue
-            _end_reading(load, share)
-            share.writing = True
-            if not share.decodes_here and not share.memory_tokens:
+            _end_prefill(load, work)
+            work.prefilled = True
+            if not work.decodes_here and not work.memory_tokens:
                 del load.work_by_request[daemon, item_id]
 
     def expire(self, own: str) -> None:
@@ -239,28 +237,28 @@
         for daemon, items in self.items.items():
             if daemon == own:
                 continue  # its end is noticed here
-            late = [
+            expired = [
                 item.id
                 for item in items.values()
                 if self._ends_at(daemon, item) + EXPIRY_SLACK_S < now
             ]
-            for item_id in late:
+            for item_id in expired:
                 self.remove(daemon, item_id)
 
     def _ends_at(self, daemon: str, item: WorkItem) -> float:
-        share = self.by_endpoint[item.endpoint].work_by_request.get(
+        work = self.by_endpoint[item.endpoint].work_by_request.get(
             (daemon, item.id)
         )
-        return share.ends_at if share else 0.0
+        return work.ends_at if work else 0.0
 
-    def _extend(self, daemon: str, item: WorkItem) -> None:
-        share = self.by_endpoint[item.endpoint].work_by_request.get(
+    def _extend_end(self, daemon: str, item: WorkItem) -> None:
+        work = self.by_endpoint[item.endpoint].work_by_request.get(
             (daemon, item.id)
         )
-        if share is not None:
-            share.ends_at = monotonic_s() + item.remaining_ms / _MS_PER_S
+        if work is not None:
+            work.ends_at = monotonic_s() + item.remaining_ms / _MS_PER_S
 
-    def _place(
+    def _add_work(
         self, daemon: str, item: WorkItem, endpoint: str, memory_tokens: int
     ) -> None:
         now = monotonic_s()
@@ -281,23 +279,23 @@
             memory_tokens=memory_tokens,
             target_gap_ms=item.target_gap_ms,
             decodes_here=endpoint == item.endpoint,
-            writing=item.writing,
+            prefilled=item.writing,
             joint=joint,
         )
 
 
-def _end_reading(load: EndpointLoad, share: EndpointWork) -> None:
+def _end_prefill(load: EndpointLoad, work: EndpointWork) -> None:
     """Gives back the reading time that a share no longer needs."""
     now = monotonic_s()
-    left_s = min(
-        share.prefill_s,
-        share.prefill_ends_at - max(now, share.prefill_starts_at),
+    remaining_s = min(
+        work.prefill_s,
+        work.prefill_ends_at - max(now, work.prefill_starts_at),
     )
-    if left_s > 0:
-        load.prefill_ends_at -= left_s
-        if share.joint:
-            load.delay_prefills(share.prefill_ends_at, -left_s)
-    share.prefill_ends_at = min(share.prefill_ends_at, now)
+    if remaining_s > 0:
+        load.prefill_ends_at -= remaining_s
+        if work.joint:
+            load.delay_prefills(work.prefill_ends_at, -remaining_s)
+    work.prefill_ends_at = min(work.prefill_ends_at, now)
 
 
 __all__ = ["EndpointLoad", "FleetLoad", "EndpointWork"]
--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -64,18 +64,18 @@
     def __init__(self, *, placer: Placer) -> None:
         self.placer = placer
 
-    def is_needed(self, request: RoutedRequest) -> bool:
+    def needs_group(self, request: RoutedRequest) -> bool:
         """Tells whether no single endpoint of the service is large enough."""
         state = self.placer.endpoint_manager.state
         service = state.services.get(request.service)
         if service is None or service.kind != ServiceKind.MODEL:
             return False
-        needed = request.prompt_tokens + request.answer_tokens
+        needed_tokens = request.prompt_tokens + request.answer_tokens
         memory = [
             state.endpoints[name].memory_tokens
             for name in state.endpoints_of(request.service)
         ]
-        return bool(memory) and needed > max(memory)
+        return bool(memory) and needed_tokens > max(memory)
 
     async def place(
         self, request: RoutedRequest, excluded: set[str]
@@ -89,27 +89,29 @@
         prompt = request.body.get("prompt")
         if request.path != COMPLETIONS_PATH or not isinstance(prompt, str):
             return refusal(ResultCode.PROMPT_TOO_LONG, ran=ran)
-        table = self.placer.endpoint_manager
-        all_names = table.state.endpoints_of(request.service)
-        if not self._choose(request, all_names):
+        endpoint_manager = self.placer.endpoint_manager
+        all_names = endpoint_manager.state.endpoints_of(request.service)
+        if not self._choose_group(request, all_names):
             return refusal(ResultCode.PROMPT_TOO_LONG, ran=ran)
-        last = refusal(ResultCode.NO_ENDPOINT, ran=ran, retry_after_s=5)
+        last_refusal = refusal(ResultCode.NO_ENDPOINT, ran=ran, retry_after_s=5)
         while request.time_left_s() > 0:
             if self.placer.strikes.is_refused(request.fingerprint):
                 return refusal(ResultCode.CRASHING_REQUEST, ran=ran)
-            names = self._choose(request, self._open(request, excluded))
+            names = self._choose_group(
+                request, self._schedulable_endpoints(request, excluded)
+            )
             if not names:
-                return last
+                return last_refusal
             group = await self._reserve(request, names, prompt)
             if isinstance(group, GroupReservation):
                 return group
-            last = refusal(
+            last_refusal = refusal(
                 ResultCode.QUEUE_FULL, ran=ran, retry_after_s=MAX_GROUP_WAIT_S
             )
             await asyncio.sleep(
                 MAX_GROUP_RETRY_DELAY_S * self.placer.rng.random()
             )
-        return last
+        return last_refusal
 
     def release(
         self, group: GroupReservation, *, succeeded: bool, may_still_run: bool
@@ -126,19 +128,23 @@
         self, request: RoutedRequest, names: list[str], prompt: str
     ) -> GroupReservation | None:
         segments = split_prompt(prompt, len(names))
-        asked = [
-            self._part(request, name, segment, last=segment is segments[-1])
+        segment_requests = [
+            self._segment_request(
+                request, name, segment, last=segment is segments[-1]
+            )
             for name, segment in zip(names, segments, strict=True)
         ]
-        outcome = await reserve_group(self.placer.reservations, asked)
+        outcome = await reserve_group(
+            self.placer.reservations, segment_requests
+        )
         if isinstance(outcome, list):
             return GroupReservation(reservations=outcome, segments=segments)
         return None
 
-    def _part(
+    def _segment_request(
         self, request: RoutedRequest, name: str, segment: str, *, last: bool
     ) -> ReserveRequest:
-        left_s = request.time_left_s()
+        time_left_s = request.time_left_s()
         settings = self.placer.endpoint_manager.settings.routing
         return ReserveRequest(
             endpoint=name,
@@ -151,32 +157,47 @@
             length_class=request.length_class,
             fingerprint=request.fingerprint,
             struck=self.placer.strikes.is_struck(request.fingerprint),
-            time_left_s=left_s,
-            max_wait_s=max(0.0, min(MAX_GROUP_WAIT_S, left_s)),
+            time_left_s=time_left_s,
+            max_wait_s=max(0.0, min(MAX_GROUP_WAIT_S, time_left_s)),
             service=request.service,
         )
 
-    def _open(self, request: RoutedRequest, excluded: set[str]) -> list[str]:
-        table = self.placer.endpoint_manager
+    def _schedulable_endpoints(
+        self, request: RoutedRequest, excluded: set[str]
+    ) -> list[str]:
+        endpoint_manager = self.placer.endpoint_manager
         return [
             name
-            for name in table.state.endpoints_of(request.service)
+            for name in endpoint_manager.state.endpoints_of(request.service)
             if name not in excluded
-            and not table.is_unschedulable(name)
-            and table.latest_hint(name).phase not in UNSCHEDULABLE_PHASES
-            and table.latest_hint(name).phase not in STRICT_PHASES
+            and not endpoint_manager.is_unschedulable(name)
+            and endpoint_manager.latest_hint(name).phase
+            not in UNSCHEDULABLE_PHASES
+            and endpoint_manager.latest_hint(name).phase not in STRICT_PHASES
         ]
 
-    def _choose(self, request: RoutedRequest, names: list[str]) -> list[str]:
+    def _choose_group(
+        self, request: RoutedRequest, names: list[str]
+    ) -> list[str]:
         """Returns the fewest least loaded endpoints that are enough."""
-        table = self.placer.endpoint_manager
-        share = 1 - table.settings.routing.short_memory_share
-        ordered = sorted(names, key=lambda n: table.latest_hint(n).long_wait_s)
+        endpoint_manager = self.placer.endpoint_manager
+        long_memory_share = (
+            1 - endpoint_manager.settings.routing.short_memory_share
+        )
+        ordered = sorted(
+            names, key=lambda n: endpoint_manager.latest_hint(n).long_wait_s
+        )
         for count in range(2, min(MAX_SEGMENTS, len(ordered)) + 1):
             chosen = ordered[:count]
-            room = min(table.state.endpoints[n].memory_tokens for n in chosen)
+            capacity_tokens = min(
+                endpoint_manager.state.endpoints[n].memory_tokens
+                for n in chosen
+            )
             segment = math.ceil(request.prompt_tokens / count) + count
-            if segment + request.answer_tokens <= room * share:
+            if (
+                segment + request.answer_tokens
+                <= capacity_tokens * long_memory_share
+            ):
                 return chosen
         return []
 
@@ -184,14 +205,16 @@
 def split_prompt(prompt: str, count: int) -> list[str]:
     """Splits a prompt into segments of about equal size in UTF-8."""
     data = prompt.encode()
-    cuts = [0]
+    offsets = [0]
     for number in range(1, count):
-        cut = number * len(data) // count
-        while data[cut] & 0xC0 == 0x80:  # within a character
-            cut -= 1
-        cuts.append(cut)
-    cuts.append(len(data))
-    return [data[begin:end].decode() for begin, end in itertools.pairwise(cuts)]
+        offset = number * len(data) // count
+        while data[offset] & 0xC0 == 0x80:  # within a character
+            offset -= 1
+        offsets.append(offset)
+    offsets.append(len(data))
+    return [
+        data[begin:end].decode() for begin, end in itertools.pairwise(offsets)
+    ]
 
 
 __all__ = ["GroupPlacer", "GroupReservation", "split_prompt"]
--- a/src/auburnswitch/routing/group_runner.py
+++ b/src/auburnswitch/routing/group_runner.py
@@ -82,12 +82,12 @@
             async with contextlib.aclosing(stream.parts()) as parts:
                 async for part in parts:
                     if isinstance(part, AnswerEnd):
-                        _count_whole_prompt(part, request)
+                        _set_prompt_tokens(part, request)
                     yield part
             succeeded = True
         finally:
-            free = self._free(group, attempt, succeeded=succeeded)
-            self.cleanups.start(free, "free the parts of a group")
+            cleanup = self._release_group(group, attempt, succeeded=succeeded)
+            self.cleanups.start(cleanup, "free the parts of a group")
 
     async def _prefill_chain(
         self, request: RoutedRequest, group: GroupReservation, attempt: Attempt
@@ -116,13 +116,15 @@
         attempt: Attempt,
         body: dict[str, Any],
     ) -> str:
-        patience_s = self.client.settings.stream_idle_timeout_s
-        rate = max(1, spec.prefill_tokens_per_second)
-        patience_s += PREFILL_TIMEOUT_FACTOR * held.work.prefill_tokens / rate
-        until = min(request.deadline_at, monotonic_s() + patience_s)
+        timeout_s = self.client.settings.stream_idle_timeout_s
+        tokens_per_s = max(1, spec.prefill_tokens_per_second)
+        timeout_s += (
+            PREFILL_TIMEOUT_FACTOR * held.work.prefill_tokens / tokens_per_s
+        )
+        timeout_at = min(request.deadline_at, monotonic_s() + timeout_s)
         guard = self.group_placer.placer.reservations.guard(held, attempt)
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(timeout_at):
                 kv_id = await self._post_prefill(spec, attempt, body, guard)
         except TimeoutError as error:
             if monotonic_s() >= request.deadline_at:
@@ -174,12 +176,12 @@
             guard=self.group_placer.placer.reservations.guard(held, attempt),
         )
 
-    async def _free(
+    async def _release_group(
         self, group: GroupReservation, attempt: Attempt, *, succeeded: bool
     ) -> None:
         """Frees what the attempt left on each endpoint, then its room."""
         freed = [
-            await self._free_part(held, attempt)
+            await self._free_endpoint(held, attempt)
             for held in group.reservations
             if held.dispatched_at is not None
         ]
@@ -187,7 +189,9 @@
             group, succeeded=succeeded, may_still_run=not all(freed)
         )
 
-    async def _free_part(self, held: HeldReservation, attempt: Attempt) -> bool:
+    async def _free_endpoint(
+        self, held: HeldReservation, attempt: Attempt
+    ) -> bool:
         state = self.group_placer.placer.endpoint_manager.state
         spec = state.endpoints.get(held.endpoint)
         if spec is None:
@@ -205,7 +209,7 @@
         return spec
 
 
-def _count_whole_prompt(end: AnswerEnd, request: RoutedRequest) -> None:
+def _set_prompt_tokens(end: AnswerEnd, request: RoutedRequest) -> None:
     if "prompt_tokens" in end.usage:
         end.usage["prompt_tokens"] = request.prompt_tokens
 
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -51,9 +51,9 @@
     """
 
     __slots__ = (
+        "_assigned",
+        "_assignment_key",
         "_next_at",
-        "_observed",
-        "_observed_of",
         "_started_at",
         "calls",
         "installation",
@@ -81,90 +81,96 @@
         self.publish = publish
         self._started_at = monotonic_s()
         self._next_at: dict[str, float] = {}
-        self._observed: list[KnownEndpoint] = []
-        self._observed_of: tuple[frozenset[str], int] = (frozenset(), -1)
+        self._assigned: list[KnownEndpoint] = []
+        self._assignment_key: tuple[frozenset[str], int] = (frozenset(), -1)
 
     async def run(self) -> None:
         """Observes engines until it is cancelled."""
         while True:
             await asyncio.sleep(FAST_OBSERVE_INTERVAL_S)
-            due = self._due()
+            due = self._due_engines()
             reports = await asyncio.gather(*map(self._observe, due))
-            news = [report for report in reports if report is not None]
-            if news:
-                self.publish(news)
+            changed_reports = [
+                report for report in reports if report is not None
+            ]
+            if changed_reports:
+                self.publish(changed_reports)
 
     def apply_report(self, report: EngineReport) -> None:
         """Takes over a report that a peer has read."""
-        self.load.by_endpoint[report.endpoint].observe(report)
+        self.load.by_endpoint[report.endpoint].apply_report(report)
 
-    def _due(self) -> list[KnownEndpoint]:
+    def _due_engines(self) -> list[KnownEndpoint]:
         """Returns the engines that this daemon has to ask now."""
-        self._share_out()
+        self._refresh_assignment()
         now = monotonic_s()
         due = [
-            known
-            for known in self._observed
-            if self._next_at.get(known.entry.id, 0.0) <= now
+            endpoint
+            for endpoint in self._assigned
+            if self._next_at.get(endpoint.entry.id, 0.0) <= now
         ]
-        due.sort(key=lambda known: self._next_at.get(known.entry.id, 0.0))
+        due.sort(key=lambda endpoint: self._next_at.get(endpoint.entry.id, 0.0))
         return due[:MAX_CONCURRENT_REPORTS]
 
-    def _share_out(self) -> None:
+    def _refresh_assignment(self) -> None:
         """Finds this daemon's engines again if anything has changed."""
         table = self.installation.table
         if table is None:
             return
         daemons = frozenset([*self.live_instances(), self.instance])
-        current = (daemons, self.installation.endpoints_revision)
-        if current == self._observed_of:
+        assignment_key = (daemons, self.installation.endpoints_revision)
+        if assignment_key == self._assignment_key:
             return
-        self._observed_of = current
+        self._assignment_key = assignment_key
         ring = HashRing(members=daemons)
         engines = {s.name for s in table.config.services if s.engine}
-        self._observed = [
-            known
-            for known in self.installation.endpoints.values()
-            if known.entry.service_name in engines
-            and ring.owner(known.entry.id) == self.instance
+        self._assigned = [
+            endpoint
+            for endpoint in self.installation.endpoints.values()
+            if endpoint.entry.service_name in engines
+            and ring.owner(endpoint.entry.id) == self.instance
         ]
 
-    async def _observe(self, known: KnownEndpoint) -> EngineReport | None:
+    async def _observe(self, endpoint: KnownEndpoint) -> EngineReport | None:
         """Asks one engine; returns what peers have to know, if anything."""
         now = monotonic_s()
-        load = self.load.by_endpoint[known.entry.id]
-        answer = await self.calls.report(known.entry)
-        if answer is None:
-            self._next_at[known.entry.id] = now + OBSERVE_INTERVAL_S
+        load = self.load.by_endpoint[endpoint.entry.id]
+        load_report = await self.calls.report(endpoint.entry)
+        if load_report is None:
+            self._next_at[endpoint.entry.id] = now + OBSERVE_INTERVAL_S
             return None
-        writers = load.recent_request_count()
-        unknown = max(0, answer.requests - writers)
+        known_requests = load.recent_request_count()
+        unknown_requests = max(0, load_report.requests - known_requests)
         known_tokens = load.memory_tokens - load.unknown_tokens
         report = EngineReport(
-            endpoint=known.entry.id,
-            unknown_requests=unknown,
-            unknown_tokens=max(0, answer.memory_tokens - known_tokens),
-            slowdown=answer.slowdown,
+            endpoint=endpoint.entry.id,
+            unknown_requests=unknown_requests,
+            unknown_tokens=max(0, load_report.memory_tokens - known_tokens),
+            slowdown=load_report.slowdown,
         )
-        if not unknown:
+        if not unknown_requests:
             report.unknown_tokens = 0  # of requests that have just ended
-        before = (
+        was_abnormal = (
             load.unknown_requests > 0 or load.slowdown >= SLOWDOWN_THRESHOLD
         )
-        strange = unknown > 0 or answer.slowdown >= SLOWDOWN_THRESHOLD
-        load.observe(report)
-        soon = strange or now < self._started_at + STARTUP_S
-        interval_s = FAST_OBSERVE_INTERVAL_S if soon else OBSERVE_INTERVAL_S
-        self._next_at[known.entry.id] = now + interval_s
-        if not strange and not before:
+        is_abnormal = (
+            unknown_requests > 0 or load_report.slowdown >= SLOWDOWN_THRESHOLD
+        )
+        load.apply_report(report)
+        poll_fast = is_abnormal or now < self._started_at + STARTUP_S
+        interval_s = (
+            FAST_OBSERVE_INTERVAL_S if poll_fast else OBSERVE_INTERVAL_S
+        )
+        self._next_at[endpoint.entry.id] = now + interval_s
+        if not is_abnormal and not was_abnormal:
             return None
-        if strange != before:
+        if is_abnormal != was_abnormal:
             log_event(
                 EventId.ENGINE_LOAD_DIFFERS,
-                endpoint=known.entry.id,
-                reported=answer.requests,
-                known=writers,
-                slowdown=answer.slowdown,
+                endpoint=endpoint.entry.id,
+                reported=load_report.requests,
+                known=known_requests,
+                slowdown=load_report.slowdown,
             )
         return report
 
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -64,13 +64,13 @@
             The placement's helpers with their reservations, or the engines
             that did not grant one.
         """
-        holders = [known.entry for known in placement.holders()]
-        readers = [
-            PrefillHelper(endpoint=known.entry)
-            for known in placement.helpers[len(holders) :]
+        holders = [endpoint.entry for endpoint in placement.holders()]
+        unreserved_helpers = [
+            PrefillHelper(endpoint=endpoint.entry)
+            for endpoint in placement.helpers[len(holders) :]
         ]
         if not holders:
-            yield readers
+            yield unreserved_helpers
             return
         self._number += 1
         key = f"{self.prefix}-{self._number}"
@@ -90,11 +90,11 @@
                 return
             renewing = asyncio.create_task(self._renew(holders, key, tokens))
             try:
-                held = [
+                reserved_helpers = [
                     PrefillHelper(endpoint=endpoint, reservation=key)
                     for endpoint in holders
                 ]
-                yield [*held, *readers]
+                yield [*reserved_helpers, *unreserved_helpers]
             finally:
                 renewing.cancel()
         finally:
@@ -105,7 +105,7 @@
         self, endpoints: list[EndpointEntry], key: str, tokens: int
     ) -> list[str]:
         """Returns the ids of the engines that did not grant it."""
-        answers = await asyncio.gather(
+        grants = await asyncio.gather(
             *(
                 self.calls.reserve(
                     e, key=key, tokens=tokens, hold_ms=RESERVATION_LEASE_MS
@@ -115,7 +115,7 @@
         )
         return [
             endpoint.id
-            for endpoint, granted in zip(endpoints, answers, strict=True)
+            for endpoint, granted in zip(endpoints, grants, strict=True)
             if not granted
         ]
 
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -39,7 +39,7 @@
     target_s = job.route.target_latency_s
     now = monotonic_s()
     give_up_at = now + target_s * MAX_PLACEMENT_WAIT_SHARE
-    yield_until = now + _yield_s(job)
+    yield_until = now + _max_yield_s(job)
     while selector.is_feasible(job):
         placement = selector.select(job)
         now = monotonic_s()
@@ -50,14 +50,14 @@
         if placement is None and now >= give_up_at:
             return None
         if placement is not None and (
-            now >= yield_until or not _should_wait(job, placement)
+            now >= yield_until or not _should_defer(job, placement)
         ):
             return placement
         await asyncio.sleep(PLACEMENT_POLL_INTERVAL_S)
     return None
 
 
-def _should_wait(job: DeliveryJob, placement: Placement) -> bool:
+def _should_defer(job: DeliveryJob, placement: Placement) -> bool:
     """Whether waiting serves others and costs the request nothing."""
     if placement.first_token_s * DEADLINE_SAFETY_FACTOR > job.time_left_s():
         return False
@@ -70,7 +70,7 @@
     return placement.delays_others and slack_s > 0
 
 
-def _yield_s(job: DeliveryJob) -> float:
+def _max_yield_s(job: DeliveryJob) -> float:
     """Returns how long a late request lets others go first."""
     target_s = job.route.target_latency_s
     if target_s < YIELD_MIN_TARGET_S:
--- a/src/auburnswitch/routing/placer.py
+++ b/src/auburnswitch/routing/placer.py
@@ -105,11 +105,11 @@
         """
         match self.policy:
             case PowerOfTwoChoicesPolicy(sample_size=sample_size):
-                return self._choose(request, excluded, sample_size)
+                return self._place_by_sampling(request, excluded, sample_size)
             case OwnerReservationPolicy():
-                return await self._ask_owners(request, excluded)
+                return await self._place_by_owners(request, excluded)
 
-    def _choose(
+    def _place_by_sampling(
         self, request: RoutedRequest, excluded: set[str], sample_size: int
     ) -> HeldReservation | Refusal:
         names = self._candidates(request, excluded)
@@ -125,31 +125,31 @@
     def _reported_tokens(self, name: str) -> int:
         return self.endpoint_manager.latest_hint(name).reported_prefill_tokens
 
-    async def _ask_owners(
+    async def _place_by_owners(
         self, request: RoutedRequest, excluded: set[str]
     ) -> HeldReservation | Refusal:
         """Asks owners in rounds until one grants room or none ever can."""
         started_at = monotonic_s()
-        last = refusal(
+        last_refusal = refusal(
             ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
         )
         while request.time_left_s() > 0:
             if self.strikes.is_refused(request.fingerprint):
                 return refusal(ResultCode.CRASHING_REQUEST, ran=_ran(request))
-            outcome = await self._ask_round(request, excluded, started_at)
+            outcome = await self._run_probe_round(request, excluded, started_at)
             match outcome:
                 case HeldReservation():
                     if not self.strikes.is_refused(request.fingerprint):
                         return outcome
                     await self.reservations.release(outcome, succeeded=False)
-                case FinalRefusal(refusal=last):
-                    return last
+                case FinalRefusal(refusal=last_refusal):
+                    return last_refusal
                 case Refusal():
-                    last = outcome
+                    last_refusal = outcome
             await asyncio.sleep(PROBE_ROUND_DELAY_S)
-        return last
+        return last_refusal
 
-    async def _ask_round(
+    async def _run_probe_round(
         self, request: RoutedRequest, excluded: set[str], started_at: float
     ) -> HeldReservation | FinalRefusal | Refusal:
         """Asks owners once, from the most to the least promising.
@@ -158,43 +158,45 @@
         so that a stale hint costs one call and no time. The last call waits
         in the queue of the best endpoint among those just heard of.
         """
-        refusing: set[str] = set()
-        last: Refusal | None = None
-        for probe in range(_probes(request)):
-            names = self._candidates(request, excluded | refusing)
+        refused_by: set[str] = set()
+        last_refusal: Refusal | None = None
+        for probe in range(_max_probes(request)):
+            names = self._candidates(request, excluded | refused_by)
             if not names:
                 break
             limit_s = self._wait_limit_s(request, names)
-            if probe == _probes(request) - 1:
+            if probe == _max_probes(request) - 1:
                 limit_s = 0.0
-                names = [n for n in names if self._is_fresh(n)] or names
+                names = [n for n in names if self._has_fresh_hint(n)] or names
             waited_s = monotonic_s() - started_at
             reply = await self._reserve(request, names[0], limit_s, waited_s)
             if isinstance(reply, HeldReservation):
                 return reply
-            last = refusal(
+            last_refusal = refusal(
                 ResultCode(reply.code),
                 ran=_ran(request),
                 retry_after_s=max(1.0, reply.retry_after_s),
             )
             if reply.code == ResultCode.PROMPT_TOO_LONG:
-                last.retry_after_s = None
-                return FinalRefusal(refusal=last)
+                last_refusal.retry_after_s = None
+                return FinalRefusal(refusal=last_refusal)
             if reply.code != ResultCode.QUEUE_FULL or not reply.hints:
-                refusing.add(names[0])
-        if last is None:
-            return FinalRefusal(refusal=self._no_candidate(request, excluded))
-        if self._starts_too_late(request, excluded):
-            return FinalRefusal(refusal=last)
-        return last
-
-    def _no_candidate(
+                refused_by.add(names[0])
+        if last_refusal is None:
+            return FinalRefusal(
+                refusal=self._no_candidate_refusal(request, excluded)
+            )
+        if self._all_start_too_late(request, excluded):
+            return FinalRefusal(refusal=last_refusal)
+        return last_refusal
+
+    def _no_candidate_refusal(
         self, request: RoutedRequest, excluded: set[str]
     ) -> Refusal:
         """Returns why no endpoint can be asked."""
         if any(
-            self._is_too_cold(request, name)
-            for name in self._open_endpoints(request, excluded)
+            self._exceeds_cold_limit(request, name)
+            for name in self._schedulable_endpoints(request, excluded)
         ):
             return refusal(
                 ResultCode.ENDPOINT_COLD,
@@ -205,7 +207,7 @@
             ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
         )
 
-    def _is_too_cold(self, request: RoutedRequest, name: str) -> bool:
+    def _exceeds_cold_limit(self, request: RoutedRequest, name: str) -> bool:
         """Tells whether an endpoint is cold and the prompt too long for it."""
         if self.endpoint_manager.latest_hint(name).phase != EndpointPhase.COLD:
             return False
@@ -216,9 +218,9 @@
         """Returns the longest wait worth taking at the first endpoint."""
         if len(names) < 2 or self.strikes.is_struck(request.fingerprint):
             return 0.0
-        return self._wait_s(request, names[1]) + WAIT_SLACK_S
+        return self._predicted_wait_s(request, names[1]) + WAIT_SLACK_S
 
-    def _is_fresh(self, name: str) -> bool:
+    def _has_fresh_hint(self, name: str) -> bool:
         return self._hint_age_s(name) <= FRESH_HINT_MAX_AGE_S
 
     def _hint_age_s(self, name: str) -> float:
@@ -226,25 +228,29 @@
             return 0.0
         return self.endpoint_manager.hints.age_s(name)
 
-    def _starts_too_late(
+    def _all_start_too_late(
         self, request: RoutedRequest, excluded: set[str]
     ) -> bool:
         """Tells whether no endpoint promises a start within the deadline."""
         names = self._candidates(request, excluded)
-        left_s = request.time_left_s()
-        return all(self._wait_s(request, name) > left_s for name in names)
+        time_left_s = request.time_left_s()
+        return all(
+            self._predicted_wait_s(request, name) > time_left_s
+            for name in names
+        )
 
-    def _open_endpoints(
+    def _schedulable_endpoints(
         self, request: RoutedRequest, excluded: set[str]
     ) -> list[str]:
         """Returns the endpoints that receive new work."""
-        table = self.endpoint_manager
+        endpoint_manager = self.endpoint_manager
         return [
             name
-            for name in table.state.endpoints_of(request.service)
+            for name in endpoint_manager.state.endpoints_of(request.service)
             if name not in excluded
-            and not table.is_unschedulable(name)
-            and table.latest_hint(name).phase not in UNSCHEDULABLE_PHASES
+            and not endpoint_manager.is_unschedulable(name)
+            and endpoint_manager.latest_hint(name).phase
+            not in UNSCHEDULABLE_PHASES
         ]
 
     def _candidates(
@@ -252,15 +258,17 @@
     ) -> list[str]:
         names = [
             name
-            for name in self._open_endpoints(request, excluded)
-            if not self._is_too_cold(request, name)
+            for name in self._schedulable_endpoints(request, excluded)
+            if not self._exceeds_cold_limit(request, name)
         ]
         if self.strikes.is_struck(request.fingerprint):
-            return self._struck_order(request, names)
+            return self._rendezvous_order(request, names)
         self.rng.shuffle(names)
-        return sorted(names, key=lambda name: self._wait_s(request, name))
+        return sorted(
+            names, key=lambda name: self._predicted_wait_s(request, name)
+        )
 
-    def _struck_order(
+    def _rendezvous_order(
         self, request: RoutedRequest, names: list[str]
     ) -> list[str]:
         """Returns an order that all daemons agree on.
@@ -274,21 +282,27 @@
             if self.endpoint_manager.latest_hint(name).phase
             not in STRICT_PHASES
         ]
-        key = request.fingerprint
-        return sorted(warm or names, key=lambda name: _rank(key, name))
+        fingerprint = request.fingerprint
+        return sorted(
+            warm or names, key=lambda name: _rendezvous_hash(fingerprint, name)
+        )
 
-    def _wait_s(self, request: RoutedRequest, name: str) -> float:
+    def _predicted_wait_s(self, request: RoutedRequest, name: str) -> float:
         """Returns the wait that the newest hint of an endpoint promises."""
         hint = self.endpoint_manager.latest_hint(name)
         age_s = self._hint_age_s(name)
         wait_s = hint.short_wait_s
         if request.length_class is not LengthClass.SHORT:
             wait_s = hint.long_wait_s
-        left_s = max(0.0, wait_s - age_s)
-        if hint.long_wait_s - age_s > max(left_s, CHUNK_DELAY_S):
-            left_s = max(left_s, CHUNK_DELAY_S)  # a long prompt gives way
-        unseen_s = STALENESS_PENALTY_PER_S * min(age_s, STALENESS_MAX_AGE_S)
-        return left_s + unseen_s + _penalty_s(request, hint)
+        remaining_s = max(0.0, wait_s - age_s)
+        if hint.long_wait_s - age_s > max(remaining_s, CHUNK_DELAY_S):
+            remaining_s = max(
+                remaining_s, CHUNK_DELAY_S
+            )  # a long prompt gives way
+        staleness_penalty_s = STALENESS_PENALTY_PER_S * min(
+            age_s, STALENESS_MAX_AGE_S
+        )
+        return remaining_s + staleness_penalty_s + _penalty_s(request, hint)
 
     async def _reserve(
         self,
@@ -297,7 +311,7 @@
         limit_s: float,
         waited_s: float,
     ) -> HeldReservation | ReserveReply:
-        left_s = request.time_left_s()
+        time_left_s = request.time_left_s()
         return await self.reservations.reserve(
             ReserveRequest(
                 endpoint=name,
@@ -310,8 +324,8 @@
                 length_class=request.length_class,
                 fingerprint=request.fingerprint,
                 struck=self.strikes.is_struck(request.fingerprint),
-                time_left_s=left_s,
-                max_wait_s=max(0.0, min(MAX_OWNER_WAIT_S, left_s)),
+                time_left_s=time_left_s,
+                max_wait_s=max(0.0, min(MAX_OWNER_WAIT_S, time_left_s)),
                 max_start_wait_s=limit_s,
                 waited_s=waited_s,
                 service=request.service,
@@ -320,9 +334,9 @@
         )
 
 
-def roster_epoch(table: EndpointManager) -> int:
+def roster_epoch(endpoint_manager: EndpointManager) -> int:
     """Returns the roster epoch that the owner table goes by."""
-    return table.view.roster.epoch
+    return endpoint_manager.view.roster.epoch
 
 
 def unreserved_work(endpoint: str, request: RoutedRequest) -> RunningWork:
@@ -339,12 +353,12 @@
     )
 
 
-def _rank(fingerprint: str, endpoint: str) -> bytes:
+def _rendezvous_hash(fingerprint: str, endpoint: str) -> bytes:
     text = f"{fingerprint}/{endpoint}"
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
-def _probes(request: RoutedRequest) -> int:
+def _max_probes(request: RoutedRequest) -> int:
     if request.length_class is LengthClass.LONG:
         return MAX_LONG_PROBES
     return MAX_SHORT_PROBES
@@ -357,8 +371,8 @@
         penalty_s += UNKNOWN_PHASE_PENALTY_S
     if hint.running >= hint.max_running:
         penalty_s += FULL_PENALTY_S
-    needed = request.prompt_tokens + request.answer_tokens
-    if hint.free_tokens < needed and hint.boot_id:
+    needed_tokens = request.prompt_tokens + request.answer_tokens
+    if hint.free_tokens < needed_tokens and hint.boot_id:
         penalty_s += FULL_PENALTY_S
     return penalty_s
 
--- a/src/auburnswitch/routing/prefill_planner.py
+++ b/src/auburnswitch/routing/prefill_planner.py
@@ -40,8 +40,10 @@
 PART_PENALTY_MS: Final = (
     20.0  # of first-token time that a further part is worth
 )
-TARGET_SHARE: Final = 0.8  # of the target latency that a prediction may take
-GAP_SHARE: Final = 0.7  # of an allowed pause that a prediction may take
+TARGET_LATENCY_SHARE: Final = (
+    0.8  # of the target latency that a prediction may take
+)
+TARGET_GAP_SHARE: Final = 0.7  # of an allowed pause that a prediction may take
 PACKING_BONUS_MS: Final = 60.0
 PACKING_BONUS_PER_DECODE_MS: Final = 20.0
 SPARE_SLOTS: Final = 1
@@ -49,7 +51,7 @@
 SLOWDOWN_PENALTY_MS: Final = 150.0  # for each time that it is slower than usual
 MAX_TIE_BREAK_PENALTY_MS: Final = 60.0
 HASH_RANGE: Final = 65536
-DEFAULT_GAP_MS: Final = 1000.0
+DEFAULT_TARGET_GAP_MS: Final = 1000.0
 LATENESS_MS_PER_WEIGHT: Final = (
     10_000.0  # of lateness that is as bad as one usual answer
 )
@@ -102,19 +104,19 @@
         that loses least; None if no engine has room for the answer.
     """
     if prompt.target_gap_ms <= 0:
-        prompt.target_gap_ms = DEFAULT_GAP_MS
+        prompt.target_gap_ms = DEFAULT_TARGET_GAP_MS
     engines = [
         EngineCandidate(
-            known=known, load=load, model=model, prompt=prompt, now=now
+            endpoint=endpoint, load=load, model=model, prompt=prompt, now=now
         )
-        for known, load in candidates
+        for endpoint, load in candidates
     ]
     for engine in engines:
-        engine.tie_break_penalty_ms = _dislike_ms(
-            tie_break, engine.known.entry.id
+        engine.tie_break_penalty_ms = _tie_break_penalty_ms(
+            tie_break, engine.endpoint.entry.id
         )
     for holders in range(MAX_HOLDERS + 1):
-        search = _Search(
+        search = _PlanSearch(
             model=model, prompt=prompt, engines=engines, holders=holders
         )
         plan = search.run()
@@ -140,7 +142,7 @@
     return engine_latency.prefill_ms(model, tokens) / parts
 
 
-class _Search:
+class _PlanSearch:
     """Looks for a plan with a given number of holders.
 
     Attributes:
@@ -148,18 +150,18 @@
         prompt: The prompt and its targets.
         engines: The candidates.
         holders: Helpers that hold an equal part of the memory each.
-        share_tokens: Memory needed at the writer and at each holder.
-        whole_ms: Time in which one engine reads the prompt.
+        tokens_per_engine: Memory needed at the writer and at each holder.
+        total_prefill_ms: Time in which one engine reads the prompt.
     """
 
     __slots__ = (
+        "decode_candidates",
         "engines",
         "holders",
         "model",
         "prompt",
-        "share_tokens",
-        "whole_ms",
-        "writers",
+        "tokens_per_engine",
+        "total_prefill_ms",
     )
 
     def __init__(
@@ -175,9 +177,9 @@
         self.engines = engines
         self.holders = holders
         needed = prompt.tokens + prompt.answer_tokens
-        self.share_tokens = math.ceil(needed / (holders + 1))
-        self.whole_ms = engine_latency.prefill_ms(model, prompt.tokens)
-        self.writers = [
+        self.tokens_per_engine = math.ceil(needed / (holders + 1))
+        self.total_prefill_ms = engine_latency.prefill_ms(model, prompt.tokens)
+        self.decode_candidates = [
             engine
             for engine in engines
             if engine.decode_count < model.slots
@@ -187,113 +189,145 @@
 
     def run(self) -> PrefillPlan | None:
         """Returns the best plan, None if the engines have no room."""
-        if not self.writers:
+        if not self.decode_candidates:
             return None
         plans: list[PrefillPlan] = []
         for delayable in DelayablePrefills:
-            for gap_share in (GAP_SHARE, 1.0, math.inf):
-                found = self._plans(gap_share, delayable)
+            for gap_share in (TARGET_GAP_SHARE, 1.0, math.inf):
+                found = self._find_plans(gap_share, delayable)
                 in_time = [plan for plan in found if self._is_in_time(plan)]
-                harmless = (
+                no_interference = (
                     delayable is DelayablePrefills.NONE and gap_share <= 1.0
                 )
-                if in_time and harmless:
+                if in_time and no_interference:
                     return min(in_time, key=_spread_cost_ms)
                 plans += found
-        return min(plans, key=self._loss, default=None)
+        return min(plans, key=self._plan_cost, default=None)
 
     def _has_memory(self, engine: EngineCandidate) -> bool:
-        return engine.free_tokens >= self.share_tokens
+        return engine.free_tokens >= self.tokens_per_engine
 
     def _is_in_time(self, plan: PrefillPlan) -> bool:
-        return plan.first_token_ms <= self.prompt.target_ms * TARGET_SHARE
+        return (
+            plan.first_token_ms <= self.prompt.target_ms * TARGET_LATENCY_SHARE
+        )
 
-    def _loss(self, plan: PrefillPlan) -> float:
+    def _plan_cost(self, plan: PrefillPlan) -> float:
         """Returns the weight that a plan loses, of its own and of others."""
-        loss = (
+        cost = (
             plan.interference_cost
             + plan.first_token_ms / LATENESS_MS_PER_WEIGHT
         )
         if plan.first_token_ms > self.prompt.target_ms:
-            loss += answer_weight(self.prompt.target_gap_ms)
-        return loss
+            cost += answer_weight(self.prompt.target_gap_ms)
+        return cost
 
-    def _plans(
+    def _find_plans(
         self, gap_share: float, delayable: DelayablePrefills
     ) -> list[PrefillPlan]:
-        rooms = {id(e): e.max_part_ms(gap_share) for e in self.engines}
-        writers = sorted(self.writers, key=self._writer_cost_ms)
-        readers = [
+        max_part_ms = {id(e): e.max_part_ms(gap_share) for e in self.engines}
+        decode_candidates = sorted(
+            self.decode_candidates, key=self._decode_cost_ms
+        )
+        helper_candidates = [
             e for e in self.engines if e.helper_prefill_count < self.model.slots
         ]
-        readers.sort(key=_helper_cost_ms)
+        helper_candidates.sort(key=_helper_cost_ms)
         plans = []
         for parts in PART_COUNTS:
-            part_ms = self.whole_ms / parts
+            part_ms = self.total_prefill_ms / parts
             if parts <= self.holders:
                 continue
             if parts > self.holders + 1 and part_ms < MIN_PART_MS:
                 break
-            able = {
+            eligible = {
                 id(engine)
                 for engine in self.engines
-                if rooms[id(engine)] >= part_ms
+                if max_part_ms[id(engine)] >= part_ms
                 and (parts == 1 or engine.accepts_part(part_ms, delayable))
             }
-            plan = self._plan_with(
+            plan = self._plan_parts(
                 parts,
-                [engine for engine in writers if id(engine) in able],
-                [engine for engine in readers if id(engine) in able],
+                [
+                    engine
+                    for engine in decode_candidates
+                    if id(engine) in eligible
+                ],
+                [
+                    engine
+                    for engine in helper_candidates
+                    if id(engine) in eligible
+                ],
             )
             if plan is not None:
                 plans.append(plan)
         return plans
 
-    def _plan_with(
+    def _plan_parts(
         self,
         parts: int,
-        writers: list[EngineCandidate],
-        readers: list[EngineCandidate],
+        decode_candidates: list[EngineCandidate],
+        helper_candidates: list[EngineCandidate],
     ) -> PrefillPlan | None:
-        if not writers:
+        if not decode_candidates:
             return None
-        part_ms = self.whole_ms / parts
+        part_ms = self.total_prefill_ms / parts
         alone = parts == 1
-        latest_ms = self.prompt.target_ms * TARGET_SHARE - part_ms
+        max_wait_ms = self.prompt.target_ms * TARGET_LATENCY_SHARE - part_ms
         decode_engine = next(
-            (e for e in writers if _wait_ms(e, alone) + e.pass_ms <= latest_ms),
-            writers[0],
+            (
+                e
+                for e in decode_candidates
+                if _wait_ms(e, alone) + e.pass_ms <= max_wait_ms
+            ),
+            decode_candidates[0],
         )
-        readers = [engine for engine in readers if engine is not decode_engine]
-        holding = [e for e in readers if self._has_memory(e)][: self.holders]
-        if len(holding) < self.holders or len(readers) < parts - 1:
+        helper_candidates = [
+            engine
+            for engine in helper_candidates
+            if engine is not decode_engine
+        ]
+        holder_engines = [e for e in helper_candidates if self._has_memory(e)][
+            : self.holders
+        ]
+        if (
+            len(holder_engines) < self.holders
+            or len(helper_candidates) < parts - 1
+        ):
             return None
-        rest = [engine for engine in readers if engine not in holding]
-        helpers = [*holding, *rest[: parts - 1 - self.holders]]
+        other_helpers = [
+            engine
+            for engine in helper_candidates
+            if engine not in holder_engines
+        ]
+        helpers = [*holder_engines, *other_helpers[: parts - 1 - self.holders]]
         chosen = (decode_engine, *helpers)
         slowest_ms = max(
             _wait_ms(engine, alone) + part_ms * engine.slowdown
             for engine in chosen
         )
         return PrefillPlan(
-            decode_engine=decode_engine.known,
-            helpers=[engine.known for engine in helpers],
+            decode_engine=decode_engine.endpoint,
+            helpers=[engine.endpoint for engine in helpers],
             part_ms=part_ms,
             first_token_ms=slowest_ms + decode_engine.pass_ms,
-            memory_tokens=self.share_tokens,
+            memory_tokens=self.tokens_per_engine,
             holders=self.holders,
-            interference_cost=_harm(chosen, part_ms),
+            interference_cost=_interference_cost(chosen, part_ms),
         )
 
-    def _writer_cost_ms(self, engine: EngineCandidate) -> float:
+    def _decode_cost_ms(self, engine: EngineCandidate) -> float:
         cost_ms = engine.wait_ms + engine.tight_gap_count * DECODE_PENALTY_MS
         cost_ms += engine.tie_break_penalty_ms
         cost_ms += (engine.slowdown - 1) * SLOWDOWN_PENALTY_MS
         gap_ms = self.prompt.target_gap_ms
-        similar = (
+        has_similar_gap = (
             bool(engine.target_gaps_ms) and min(engine.target_gaps_ms) <= gap_ms
         )
-        if similar and engine.decode_count < self.model.slots - SPARE_SLOTS:
+        if (
+            has_similar_gap
+            and engine.decode_count < self.model.slots - SPARE_SLOTS
+        ):
             cost_ms -= (
                 PACKING_BONUS_MS
                 + engine.decode_count * PACKING_BONUS_PER_DECODE_MS
@@ -305,27 +339,33 @@
     return engine.wait_ms if alone else engine.joint_wait_ms
 
 
-def _harm(engines: Sequence[EngineCandidate], part_ms: float) -> float:
+def _interference_cost(
+    engines: Sequence[EngineCandidate], part_ms: float
+) -> float:
     """Returns the weight of the answers that parts on engines hold up."""
-    harm = sum(engine.interference_cost(part_ms) for engine in engines)
+    cost = sum(engine.interference_cost(part_ms) for engine in engines)
     if len(engines) == 1:
-        return harm  # it is read after all joint reads
+        return cost  # it is read after all joint reads
     joint = {}
     for engine in engines:
         joint |= engine.joint_prefills
-    return harm + sum(prefill_delay_cost(s, part_ms) for s in joint.values())
+    return cost + sum(prefill_delay_cost(s, part_ms) for s in joint.values())
 
 
 @functools.lru_cache(maxsize=65536)
-def _dislike_ms(tie_break: str, endpoint: str) -> float:
+def _tie_break_penalty_ms(tie_break: str, endpoint: str) -> float:
     digest = hashlib.blake2b(f"{tie_break}/{endpoint}".encode(), digest_size=2)
     share = int.from_bytes(digest.digest(), "big") / HASH_RANGE
     return share * MAX_TIE_BREAK_PENALTY_MS
 
 
 def _helper_cost_ms(engine: EngineCandidate) -> float:
-    slow_ms = (engine.slowdown - 1) * SLOWDOWN_PENALTY_MS
-    return engine.wait_ms + engine.decode_count * DECODE_PENALTY_MS + slow_ms
+    slowdown_penalty_ms = (engine.slowdown - 1) * SLOWDOWN_PENALTY_MS
+    return (
+        engine.wait_ms
+        + engine.decode_count * DECODE_PENALTY_MS
+        + slowdown_penalty_ms
+    )
 
 
 def _spread_cost_ms(plan: PrefillPlan) -> float:
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -114,7 +114,7 @@
         self.progress.last_event_id = parse_event_id(new[-1]) or last_id
 
     def _note_read(self) -> None:
-        self.selector.note_prefilled(self.placement)
+        self.selector.record_prefilled(self.placement)
         after_s = monotonic_s() - self.job.arrived_at
         tokens = self.job.request.prompt_tokens
         self.statistics.record_first_event(tokens, after_s)
--- a/tests/routing/test_fleet_load.py
+++ b/tests/routing/test_fleet_load.py
@@ -29,7 +29,7 @@
             self.assertAlmostEqual(
                 load.by_endpoint["a"].backlog_ms(now), 100.0, delta=0.1
             )
-            load.note_prefilled("peer", 1)
+            load.record_prefilled("peer", 1)
             self.assertAlmostEqual(
                 load.by_endpoint["a"].backlog_ms(now), 0.0, delta=0.1
             )
@@ -53,7 +53,7 @@
             self.assertEqual(load.by_endpoint["b"].memory_tokens, 7)
             self.assertEqual(load.by_endpoint["c"].memory_tokens, 0)
             self.assertEqual(load.by_endpoint["c"].helper_prefill_count, 1)
-            load.note_prefilled("me", 1)
+            load.record_prefilled("me", 1)
             self.assertEqual(load.by_endpoint["b"].memory_tokens, 7)
             self.assertFalse(load.by_endpoint["c"].work_by_request)
             load.remove("me", 1)
--- a/tests/routing/test_joint_prefills.py
+++ b/tests/routing/test_joint_prefills.py
@@ -86,10 +86,10 @@
     """Returns the times to the first tokens of a wave of prompts."""
     selector, engines = open_selector(ENGINES), NewestFirst()
     running = asyncio.create_task(engines.run())
-    chance = random.Random(3)
+    rng = random.Random(3)
     tasks = []
     for _ in range(JOBS):
-        tokens = chance.randint(120_000, 250_000)
+        tokens = rng.randint(120_000, 250_000)
         tasks.append(asyncio.create_task(serve(selector, engines, tokens)))
         await asyncio.sleep(ARRIVAL_S)
     times = await asyncio.gather(*tasks)
--- a/tests/routing/test_placement_wait.py
+++ b/tests/routing/test_placement_wait.py
@@ -118,7 +118,9 @@
             if full:
                 for known in selector.installation.known:
                     report = EngineReport(unknown_tokens=MODEL.memory_tokens)
-                    selector.load.by_endpoint[known.entry.id].observe(report)
+                    selector.load.by_endpoint[known.entry.id].apply_report(
+                        report
+                    )
             job = make_job(tokens)
             job.excluded.update(excluded)
             job.deadline_at = monotonic_s() + time_left_s
--- a/tests/routing/test_prefill_planner.py
+++ b/tests/routing/test_prefill_planner.py
@@ -139,7 +139,7 @@
     def test_engine_that_refused_for_want_of_room_is_left_out(self):
         pool = Pool(2)
         for _ in range(3):
-            pool.load.by_endpoint["engine-0"].note_full()
+            pool.load.by_endpoint["engine-0"].record_full()
             self.assertEqual(
                 pool.place(SHORT).decode_engine.entry.id, "engine-1"
             )
@@ -149,7 +149,7 @@
         """Daemons lost power, and their requests still run."""
         pool = Pool(2)
         report = EngineReport(endpoint="engine-0", unknown_requests=8)
-        pool.load.by_endpoint["engine-0"].observe(report)
+        pool.load.by_endpoint["engine-0"].apply_report(report)
         for _ in range(8):
             self.assertEqual(
                 pool.place(SHORT).decode_engine.entry.id, "engine-1"
@@ -160,7 +160,7 @@
     def test_slow_engine_gets_nothing_while_others_are_idle(self):
         pool = Pool(3)
         report = EngineReport(endpoint="engine-0", slowdown=4.0)
-        pool.load.by_endpoint["engine-0"].observe(report)
+        pool.load.by_endpoint["engine-0"].apply_report(report)
         for _ in range(6):
             self.assertNotEqual(
                 pool.place(SHORT).decode_engine.entry.id, "engine-0"
@@ -237,12 +237,12 @@
 
 async def _share_in_time(*, by_model: bool) -> float:
     """Returns the share of short prompts predicted to be in time."""
-    chance = random.Random(7)
+    rng = random.Random(7)
     pool = Pool(12)
     in_time = shorts = 0
     for _ in range(60):
         await asyncio.sleep(0.05)
-        prompt = SHORT if chance.random() < 0.85 else REVIEW
+        prompt = SHORT if rng.random() < 0.85 else REVIEW
         if by_model:
             plan = pool.place(prompt)
             first_ms = plan.first_token_ms if plan else float("inf")
