--- a/src/auburnswitch/routing/endpoint_selector.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoints of a request and keeps account of its work."""
+"""Chooses the endpoints of a request and tracks its work on them."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     from auburnswitch.routing.send_rate_limiter import SendRateLimiter
     from auburnswitch.schema.installation import EngineModel
 
-PLAIN_REQUEST_MS: Final = 300.0  # until a plain request is expected to end
+PLAIN_REQUEST_MS: Final = 300.0  # expected duration of a plain request
 MAX_PLAIN_QUEUED: Final = 2  # requests beyond an endpoint's slots
 LONG_PROMPT_TOKENS: Final = 80_000  # from which memory is scarce
-FALLBACK_SAMPLE_SIZE: Final = 32  # endpoints of all cells
-REMAINING_TIME_FACTOR: Final = 1.5  # of the predicted time of a request
+FALLBACK_SAMPLE_SIZE: Final = 32  # endpoints sampled from all cells
+REMAINING_TIME_FACTOR: Final = 1.5  # of the predicted duration of a request
 _MS_PER_S: Final = 1000.0
 
 
@@ -48,12 +48,12 @@
     """Endpoints chosen for one attempt.
 
     Attributes:
-        endpoint: Endpoint that gets the request.
-        helpers: Endpoints that read parts of its prompt.
-        item: The work as peers hear of it.
-        first_token_s: Predicted time to the answer's start, in seconds.
-        late: The answer is predicted to start too late.
-        delays_others: It would make other answers late.
+        endpoint: Endpoint that receives the request.
+        helpers: Endpoints that prefill parts of the prompt.
+        item: The work as published to peers.
+        first_token_s: Predicted time to the first token, in seconds.
+        late: Whether the first token is predicted to miss its target latency.
+        delays_others: Whether the request would make other answers late.
     """
 
     endpoint: KnownEndpoint
@@ -64,20 +64,25 @@
     delays_others: bool = False
 
     def holders(self) -> list[KnownEndpoint]:
-        """Returns the helpers that hold a part of the prompt's memory."""
+        """Returns the helpers that hold a part of the prompt's KV cache."""
         return self.helpers[: self.item.holders]
 
 
 class EndpointSelector:
-    """Chooses endpoints by what all daemons have at them.
+    """Chooses endpoints by the work of all daemons on them.
 
     Attributes:
         instance: This daemon's instance.
         zone: This daemon's availability zone.
+        installation: The endpoints and services.
+        load: Work of all daemons on each endpoint.
+        health: Endpoints that are suspected to have failed.
+        rates: Limits the rate of requests to cold endpoints.
         group: Returns the group of daemons that prefer the same engines.
         cells: Endpoints that this daemon prefers in a large fleet.
-        on_change: Called with work that starts, and numbers of work that has
-            ended.
+        on_change: Called with the items that have started and the ids of the
+            items that have ended.
+        rng: Random generator for sampling and tie-breaks.
     """
 
     __slots__ = (
@@ -121,7 +126,7 @@
         self._next_id = 0
 
     def is_feasible(self, job: DeliveryJob) -> bool:
-        """Whether idle endpoints would have room and answer in time."""
+        """Returns whether idle endpoints could serve a request in time."""
         usable = self._count_usable(job)
         model, request = job.service.engine, job.request
         if model is None or not request.prompt_tokens:
@@ -134,7 +139,7 @@
         return prefill_ms <= job.time_left_s() * _MS_PER_S
 
     def _count_usable(self, job: DeliveryJob) -> int:
-        """Counts the open endpoints, up to as many as ever serve together."""
+        """Counts usable endpoints, up to the most that one prefill can use."""
         usable = (
             endpoint
             for endpoint in self.installation.endpoints_of(job.service.name)
@@ -144,9 +149,12 @@
         return sum(1 for _ in itertools.islice(usable, MAX_ENGINES))
 
     def select(self, job: DeliveryJob) -> Placement | None:
-        """Returns endpoints with room for a request, None if there are none.
+        """Chooses endpoints with capacity for a request.
 
-        In a large fleet those of this daemon's cell go first.
+        In a large fleet the endpoints of this daemon's cell take precedence.
+
+        Returns:
+            The placement, None if no endpoint has the capacity.
         """
         service = job.service.name
         if not self.cells.spans_cells(service):
@@ -191,7 +199,7 @@
         return None
 
     def start(self, job: DeliveryJob, placement: Placement) -> None:
-        """Counts the work of a placement and tells the peers."""
+        """Adds the work of a placement and publishes it to peers."""
         load = self.load.by_endpoint[placement.endpoint.entry.id]
         log_event(
             EventId.REQUEST_PLACED,
@@ -210,11 +218,11 @@
         self.on_change([placement.item], [])
 
     def record_prefilled(self, placement: Placement) -> None:
-        """Notes that the prompt of a placement has been read."""
+        """Records that the prefill of a placement has finished."""
         self.load.record_prefilled(self.instance, placement.item.id)
 
     def end(self, placement: Placement) -> None:
-        """Ends the work of a placement and tells the peers."""
+        """Removes the work of a placement and publishes its end to peers."""
         self.load.remove(self.instance, placement.item.id)
         self.on_change([], [placement.item.id])
 
@@ -269,11 +277,11 @@
         return self._make_placement(plan, model, prompt)
 
     def _tie_break(self, prompt: PromptRequirements) -> str:
-        """Returns whose order decides between equally good engines.
+        """Returns the tie-break text for equally good engines.
 
         Daemons of a group prefer the same engines, which packs short answers.
-        Two long prompts that are placed at one moment may not fit into the
-        memory of one engine, so each daemon has an order of its own for them.
+        Two long prompts that are placed at the same time may not fit into the
+        memory of one engine, so each daemon has its own order for them.
         """
         return (
             self.instance
--- a/src/auburnswitch/routing/engine_candidate.py
+++ b/src/auburnswitch/routing/engine_candidate.py
@@ -1,4 +1,4 @@
-"""An engine that may read or write for a prompt, as of one decision."""
+"""An engine that may prefill or decode, as seen by one placement decision."""
 
 from __future__ import annotations
 
@@ -14,18 +14,16 @@
     from auburnswitch.routing.fleet_load import EndpointLoad, EndpointWork
     from auburnswitch.schema.installation import EngineModel
 
-USABLE_MEMORY_SHARE: Final = 0.97  # of an engine's memory that is used
+USABLE_MEMORY_SHARE: Final = 0.97  # of an engine's KV cache memory
 TIGHT_GAP_RATIO: Final = 0.67
 REFERENCE_GAP_MS: Final = 250.0
-SLACK_MARGIN_MS: Final = 150.0  # for passes and news that is on its way
-LATE_WEIGHT_SHARE: Final = (
-    0.25  # of an answer's weight that is left when it is late
-)
+SLACK_MARGIN_MS: Final = 150.0  # for decode passes and updates in transit
+LATE_WEIGHT_SHARE: Final = 0.25  # of an answer's weight, once late
 _MS_PER_S: Final = 1000.0
 
 
 class DelayablePrefills(enum.Enum):
-    """Which joint reads a new one may hold up."""
+    """Existing joint prefills that a new one may delay."""
 
     NONE = "none that it would make late or that is late"
     LATE = "those that are late anyway"
@@ -34,13 +32,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class PromptRequirements:
-    """What a placement needs to know of a request.
+    """Sizes and latency targets of a request to be placed.
 
     Attributes:
         tokens: Length of the prompt.
         answer_tokens: Expected length of the answer.
-        target_ms: Time left in which the first token is in time.
-        target_gap_ms: Longest pause that is in time; 0 takes a usual one.
+        target_ms: Time left to the target latency of the first token.
+        target_gap_ms: Longest acceptable gap between events of the answer; 0
+            selects the default.
     """
 
     tokens: int
@@ -50,25 +49,25 @@
 
 
 class EngineCandidate:
-    """One candidate, with its load as of the decision.
+    """A candidate engine with its load at the time of the decision.
 
     Attributes:
-        endpoint: The endpoint.
-        backlog_ms: Reading that is under way or waits.
-        decode_count: Answers that are or will be written there.
-        helper_prefill_count: Prompts that are read there for other engines.
-        joint_prefills: What is still read there together with other engines, by
-            request.
-        slack_ms: Time by which those that are in time may be held up.
-        has_late_prefills: Some of them are predicted to be late.
-        tie_break_penalty_ms: Cost by which other engines are preferred.
-        is_full: It refused a request a moment ago.
-        free_tokens: Memory that is not used.
-        target_gaps_ms: Allowed pauses of the answers written there.
-        pass_ms: Time of a pass with one more answer, without reading.
-        slowdown: Time that its work takes, relative to the usual.
-        tight_gap_count: Answers with clearly shorter pauses than the prompt's
-            own.
+        endpoint: The engine's endpoint.
+        backlog_ms: Time that running and queued prefills still take.
+        decode_count: Requests whose answers are or will be decoded there.
+        helper_prefill_count: Prompts prefilled there for other engines.
+        joint_prefills: Unfinished joint prefills, by daemon and item id.
+        slack_ms: Time by which the joint prefills that are on time may be
+            delayed.
+        has_late_prefills: Whether a joint prefill is predicted to be late.
+        tie_break_penalty_ms: Penalty that decides between equally good engines.
+        is_full: Whether the engine recently refused a request as full.
+        free_tokens: Usable KV cache memory that is free.
+        target_gaps_ms: Target gaps of the answers decoded there.
+        pass_ms: Time of a decode pass with one more answer and no prefill.
+        slowdown: Execution time relative to the engine's usual one.
+        tight_gap_count: Answers whose target gap is clearly shorter than that
+            of the new request.
     """
 
     __slots__ = (
@@ -126,20 +125,24 @@
 
     @property
     def wait_ms(self) -> float:
-        """Predicted time until a prompt is read that is read here alone."""
+        """Predicted wait before a prompt that this engine prefills alone."""
         return self.joint_wait_ms + self.backlog_ms * self.slowdown
 
     @property
     def joint_wait_ms(self) -> float:
-        """Predicted time until a part of a joint read is read.
+        """Predicted wait before a part of a joint prefill.
 
-        An engine reads the newest part first, and prompts that it reads alone
-        after all parts.
+        An engine runs the newest part first, and prompts that it prefills
+        alone after all parts.
         """
         return self.pass_ms / 2 if self.decode_count else 0.0
 
     def max_part_ms(self, gap_share: float) -> float:
-        """Returns the longest part that keeps all pauses short enough."""
+        """Returns the longest part that respects all target gaps, in ms.
+
+        Args:
+            gap_share: Share of each target gap that a prediction may use.
+        """
         if not self.target_gaps_ms:
             return math.inf
         current_gap_ms = self.pass_ms + self.backlog_ms
@@ -148,7 +151,7 @@
     def accepts_part(
         self, part_ms: float, delayable: DelayablePrefills
     ) -> bool:
-        """Whether a part of a joint read holds up no more than is allowed."""
+        """Returns whether a part delays no more prefills than allowed."""
         match delayable:
             case DelayablePrefills.NONE:
                 return part_ms <= self.slack_ms and not self.has_late_prefills
@@ -158,7 +161,7 @@
                 return True
 
     def interference_cost(self, part_ms: float) -> float:
-        """Returns the weight of the answers that a part makes late."""
+        """Returns the total weight of the answers that a part makes late."""
         current_gap_ms = self.pass_ms + self.backlog_ms
         return sum(
             answer_weight(gap_ms)
@@ -173,7 +176,7 @@
 
 
 def prefill_delay_cost(work: EndpointWork, part_ms: float) -> float:
-    """Returns what it costs to hold up a joint read by a part of another."""
+    """Returns the cost of delaying a joint prefill by a part of another."""
     slack_ms = _slack_ms(work)
     if part_ms <= slack_ms:
         return 0.0
@@ -182,7 +185,7 @@
 
 
 def answer_weight(gap_ms: float) -> float:
-    """Returns what an answer is worth, judged by its allowed pauses."""
+    """Returns the weight of an answer, which grows with its target gap."""
     return (gap_ms / REFERENCE_GAP_MS) ** 2
 
 
--- a/src/auburnswitch/routing/engine_latency.py
+++ b/src/auburnswitch/routing/engine_latency.py
@@ -1,4 +1,4 @@
-"""Predicts how long an engine takes to read and write."""
+"""Predicts the prefill and decode times of an engine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def prefill_ms(engine: EngineModel, tokens: int) -> float:
-    """Returns the time to read a whole prompt alone, in milliseconds."""
+    """Returns the time to prefill a whole prompt alone, in milliseconds."""
     linear_ms = tokens / engine.read_tokens_per_s * _MS_PER_S
     pairs = tokens * (tokens + 1) / 2
     pairs_ms = pairs / _PAIRS_PER_MEGAPAIR * engine.read_per_megapair_ms
@@ -23,12 +23,12 @@
 def pass_ms(
     engine: EngineModel, decode_count: int, context_tokens: int = 0
 ) -> float:
-    """Returns the time of a pass without reading, in milliseconds.
+    """Returns the time of a decode pass without prefill, in milliseconds.
 
     Args:
         engine: The engine.
-        decode_count: Requests that it writes answers for.
-        context_tokens: Tokens of their prompts and answers so far.
+        decode_count: Requests whose answers the engine decodes.
+        context_tokens: Tokens of their prompts and of their answers so far.
     """
     step_ms = (
         engine.step_ms
@@ -44,7 +44,7 @@
     decode_count: int,
     context_tokens: int = 0,
 ) -> float:
-    """Returns the time to write an answer, in milliseconds."""
+    """Returns the time to decode an answer, in milliseconds."""
     passes = max(1.0, answer_tokens / engine.steps_per_pass)
     return passes * pass_ms(engine, decode_count, context_tokens)
 
--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -1,4 +1,4 @@
-"""What all daemons have at each endpoint, as far as this one knows."""
+"""Work of all daemons on each endpoint, as known to this daemon."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 EXPIRY_SLACK_S: Final = 1.0
 REPORT_MAX_LAG_S: Final = 0.6
-REPORT_TTL_S: Final = 3.0  # for which a report counts
+REPORT_TTL_S: Final = 3.0  # time for which a report is used
 FULL_TTL_S: Final = 0.4
 MAX_RECENT_END_TIMES: Final = 32
 _MS_PER_S: Final = 1000.0
@@ -22,19 +22,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class EndpointWork:
-    """What one request does at one endpoint.
+    """The work of one request on one endpoint.
 
     Attributes:
-        prefill_s: Time that its reading takes alone, in seconds.
-        prefill_starts_at: Loop time at which its reading starts, in seconds.
-        prefill_ends_at: Loop time at which its reading ends.
-        due_at: Loop time at which its answer has to start.
+        prefill_s: Time that its prefill takes alone, in seconds.
+        prefill_starts_at: Predicted loop time at which its prefill starts, in
+            seconds.
+        prefill_ends_at: Predicted loop time at which its prefill ends.
+        due_at: Loop time by which its first token is due.
         ends_at: Loop time at which the request is expected to end.
-        memory_tokens: Memory it uses here.
-        target_gap_ms: Longest pause between its events, in milliseconds.
-        decodes_here: The answer is written here.
-        writing: Its prompt has been read.
-        joint: Several endpoints read the prompt.
+        memory_tokens: KV cache memory used on this endpoint.
+        target_gap_ms: Longest acceptable gap between its events, in
+            milliseconds.
+        decodes_here: Whether the answer is decoded on this endpoint.
+        prefilled: Whether its prompt has been prefilled.
+        joint: Whether several endpoints prefill the prompt.
     """
 
     prefill_s: float
@@ -50,12 +52,11 @@
 
 
 class EndpointLoad:
-    """The work at one endpoint.
+    """The work on one endpoint.
 
     Attributes:
-        work_by_request: Shares of requests, by daemon and number of the
-            request.
-        prefill_ends_at: Loop time at which all reading is predicted to end.
+        work_by_request: Work of requests, by daemon and item id.
+        prefill_ends_at: Predicted loop time at which all prefills end.
         recent_end_times: Loop times at which the last requests ended.
     """
 
@@ -77,17 +78,17 @@
         self._reported_at = -REPORT_TTL_S
 
     def apply_report(self, report: EngineReport) -> None:
-        """Takes over what the endpoint reported."""
+        """Applies a report on the endpoint's load."""
         self._report = report
         self._reported_at = monotonic_s()
 
     def record_full(self) -> None:
-        """Notes that the endpoint refused a request for want of room."""
+        """Records that the endpoint refused a request for lack of capacity."""
         self._full_until = monotonic_s() + FULL_TTL_S
 
     @property
     def is_full(self) -> bool:
-        """Whether it refused a request a moment ago."""
+        """Whether the endpoint refused a request within FULL_TTL_S."""
         return monotonic_s() < self._full_until
 
     def _has_fresh_report(self) -> bool:
@@ -95,34 +96,34 @@
 
     @property
     def unknown_requests(self) -> int:
-        """Requests there that no daemon is known to have."""
+        """Requests on the endpoint beyond the known work of all daemons."""
         return self._report.unknown_requests if self._has_fresh_report() else 0
 
     @property
     def unknown_tokens(self) -> int:
-        """Memory in use there that no daemon is known to need."""
+        """KV cache memory in use beyond the known work of all daemons."""
         return self._report.unknown_tokens if self._has_fresh_report() else 0
 
     @property
     def slowdown(self) -> float:
-        """Time that its work takes, relative to the usual."""
+        """Execution time relative to the endpoint's usual one, at least 1."""
         if not self._has_fresh_report():
             return 1.0
         return max(1.0, self._report.slowdown)
 
     def recent_request_count(self) -> int:
-        """Counts requests that a late report may still include."""
+        """Counts requests that a delayed report may still include."""
         since = monotonic_s() - REPORT_MAX_LAG_S
         return len(self.work_by_request) + sum(
             ended_at >= since for ended_at in self.recent_end_times
         )
 
     def backlog_ms(self, now: float) -> float:
-        """Returns the predicted rest of all reading, in milliseconds."""
+        """Returns the predicted time of all remaining prefills, in ms."""
         return max(0.0, self.prefill_ends_at - now) * _MS_PER_S
 
     def joint_prefills(self, now: float) -> dict[tuple[str, int], EndpointWork]:
-        """Returns joint reads that are not believed to be done here."""
+        """Returns the joint prefills that are not predicted to have ended."""
         return {
             key: work
             for key, work in self.work_by_request.items()
@@ -130,31 +131,31 @@
         }
 
     def delay_prefills(self, since: float, delay_s: float) -> None:
-        """Moves all reading that ends after a loop time."""
+        """Delays all prefills that are predicted to end after a loop time."""
         for work in self.work_by_request.values():
             if work.prefill_ends_at > since:
                 work.prefill_ends_at += delay_s
 
     @property
     def decode_count(self) -> int:
-        """Requests whose answers are or will be written here."""
+        """Requests whose answers are or will be decoded on this endpoint."""
         return sum(work.decodes_here for work in self.work_by_request.values())
 
     @property
     def helper_prefill_count(self) -> int:
-        """Requests whose prompts are read here for another endpoint."""
+        """Requests whose prompts are prefilled here for another endpoint."""
         return len(self.work_by_request) - self.decode_count
 
     @property
     def memory_tokens(self) -> int:
-        """Memory that is used here."""
+        """KV cache memory in use on this endpoint."""
         tracked_tokens = sum(
             work.memory_tokens for work in self.work_by_request.values()
         )
         return tracked_tokens + self.unknown_tokens
 
     def target_gaps_ms(self) -> list[float]:
-        """Returns the allowed pauses of the answers written here."""
+        """Returns the target gaps of the answers decoded on this endpoint."""
         return [
             s.target_gap_ms
             for s in self.work_by_request.values()
@@ -163,11 +164,11 @@
 
 
 class FleetLoad:
-    """Work at all endpoints, by the daemon that sent it.
+    """Work on all endpoints, by the daemon that sent it.
 
     Attributes:
         by_endpoint: Load by endpoint id.
-        items: Each daemon's requests by number.
+        items: Work items of each daemon, by item id.
     """
 
     __slots__ = ("by_endpoint", "items")
@@ -179,7 +180,7 @@
         self.items: defaultdict[str, dict[int, WorkItem]] = defaultdict(dict)
 
     def add(self, daemon: str, item: WorkItem) -> None:
-        """Adds a request, or updates one that is known."""
+        """Adds a work item, or updates an existing one."""
         current = self.items[daemon].get(item.id)
         if current is not None and current.endpoint == item.endpoint:
             if item.writing and not current.writing:
@@ -196,7 +197,7 @@
             self._add_work(daemon, item, helper, memory)
 
     def remove(self, daemon: str, item_id: int) -> None:
-        """Removes a request that has ended."""
+        """Removes the work item of a request that has ended."""
         item = self.items[daemon].pop(item_id, None)
         if item is None:
             return
@@ -208,7 +209,7 @@
                 load.recent_end_times.append(monotonic_s())
 
     def replace(self, daemon: str, items: list[WorkItem]) -> None:
-        """Takes over all requests of a daemon."""
+        """Replaces all work items of a daemon."""
         current_ids = {item.id for item in items}
         for item_id in self.items[daemon].keys() - current_ids:
             self.remove(daemon, item_id)
@@ -216,7 +217,7 @@
             self.add(daemon, item)
 
     def record_prefilled(self, daemon: str, item_id: int) -> None:
-        """Notes that a prompt has been read completely."""
+        """Records that the prefill of a prompt has finished."""
         item = self.items[daemon].get(item_id)
         if item is None or item.writing:
             return
@@ -232,11 +233,15 @@
                 del load.work_by_request[daemon, item_id]
 
     def expire(self, own: str) -> None:
-        """Removes what should have ended long ago at other daemons."""
+        """Removes expired work items of other daemons.
+
+        Args:
+            own: This daemon's instance, whose items do not expire.
+        """
         now = monotonic_s()
         for daemon, items in self.items.items():
             if daemon == own:
-                continue  # its end is noticed here
+                continue  # this daemon removes its items when they end
             expired = [
                 item.id
                 for item in items.values()
@@ -267,7 +272,7 @@
         prefill_s = 0.0 if item.writing else item.read_ms / _MS_PER_S
         prefill_starts_at = max(now, load.prefill_ends_at)
         load.prefill_ends_at = prefill_starts_at + prefill_s
-        if joint:  # it goes first
+        if joint:  # the newest joint prefill runs first
             load.delay_prefills(now, prefill_s)
             prefill_starts_at = now
         load.work_by_request[daemon, item.id] = EndpointWork(
@@ -285,7 +290,7 @@
 
 
 def _end_prefill(load: EndpointLoad, work: EndpointWork) -> None:
-    """Gives back the reading time that a share no longer needs."""
+    """Subtracts the remaining prefill time of a request from the backlog."""
     now = monotonic_s()
     remaining_s = min(
         work.prefill_s,
--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -1,4 +1,4 @@
-"""Chooses groups of endpoints for prompts larger than one endpoint."""
+"""Chooses groups of endpoints for prompts too large for one endpoint."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class GroupReservation:
-    """Room on several endpoints for the segments of one prompt.
+    """Reservations on several endpoints for the segments of one prompt.
 
     Attributes:
         reservations: The reservations, in the order of the segments.
         segments: Text of each segment.
-        active_index: Number of the part that is in use.
+        active_index: Index of the reservation in use.
     """
 
     reservations: list[HeldReservation]
@@ -43,12 +43,12 @@
 
     @property
     def endpoint(self) -> str:
-        """The endpoint that is in use."""
+        """The endpoint of the reservation in use."""
         return self.reservations[self.active_index].endpoint
 
     @property
     def boot_id(self) -> str:
-        """Start of the endpoint in use that its owner knew."""
+        """Boot id of the endpoint in use, as reported by its owner."""
         return self.reservations[self.active_index].boot_id
 
 
@@ -56,7 +56,7 @@
     """Reserves groups of endpoints, all or none.
 
     Attributes:
-        placer: Knows the endpoints and holds the reservations.
+        placer: Provides the endpoints, reservations and strikes.
     """
 
     __slots__ = ("placer",)
@@ -65,7 +65,7 @@
         self.placer = placer
 
     def needs_group(self, request: RoutedRequest) -> bool:
-        """Tells whether no single endpoint of the service is large enough."""
+        """Returns whether a request exceeds the memory of every endpoint."""
         state = self.placer.endpoint_manager.state
         service = state.services.get(request.service)
         if service is None or service.kind != ServiceKind.MODEL:
@@ -80,10 +80,13 @@
     async def place(
         self, request: RoutedRequest, excluded: set[str]
     ) -> GroupReservation | Refusal:
-        """Reserves a group, or tells why there is none.
+        """Reserves a group of endpoints for a request.
 
-        Where the service's endpoints together are too small the refusal is
-        final: coming back would not help.
+        If all endpoints of the service together are too small, the refusal
+        carries no retry time, as a retry would not help.
+
+        Returns:
+            The reservations, or the reason for the refusal.
         """
         ran = Ran.UNKNOWN if request.dispatched else Ran.NO
         prompt = request.body.get("prompt")
@@ -116,7 +119,7 @@
     def release(
         self, group: GroupReservation, *, succeeded: bool, may_still_run: bool
     ) -> None:
-        """Gives every part back."""
+        """Releases all reservations of a group."""
         release_group(
             self.placer.reservations,
             group.reservations,
@@ -179,7 +182,7 @@
     def _choose_group(
         self, request: RoutedRequest, names: list[str]
     ) -> list[str]:
-        """Returns the fewest least loaded endpoints that are enough."""
+        """Returns the smallest sufficient group of least loaded endpoints."""
         endpoint_manager = self.placer.endpoint_manager
         long_memory_share = (
             1 - endpoint_manager.settings.routing.short_memory_share
@@ -208,7 +211,7 @@
     offsets = [0]
     for number in range(1, count):
         offset = number * len(data) // count
-        while data[offset] & 0xC0 == 0x80:  # within a character
+        while data[offset] & 0xC0 == 0x80:  # inside a UTF-8 sequence
             offset -= 1
         offsets.append(offset)
     offsets.append(len(data))
--- a/src/auburnswitch/routing/group_runner.py
+++ b/src/auburnswitch/routing/group_runner.py
@@ -1,4 +1,4 @@
-"""Runs a prompt on a group of endpoints, segment after segment."""
+"""Runs a prompt on a group of endpoints, one segment after the other."""
 
 from __future__ import annotations
 
@@ -30,13 +30,14 @@
 
 
 class GroupRunner:
-    """Prefills segments along a chain and streams the answer of the last.
+    """Prefills segments in a chain and streams the answer of the last endpoint.
 
     Attributes:
         group_placer: Reserves and releases the groups.
-        client: Calls endpoints.
-        metrics: The daemon's instruments.
-        cleanups: What goes on after an attempt.
+        client: Client for calls to endpoints.
+        metrics: The daemon's metrics.
+        member_id: This daemon's member id.
+        cleanups: Cleanup tasks that outlive an attempt.
     """
 
     __slots__ = ("cleanups", "client", "group_placer", "member_id", "metrics")
@@ -62,7 +63,7 @@
         group: GroupReservation,
         progress: AnswerProgress,
     ) -> AsyncIterator[AnswerText | AnswerEnd]:
-        """Runs one attempt and frees every part of it.
+        """Runs one attempt and releases all its reservations.
 
         Raises:
             EndpointFailureError: An endpoint of the group failed.
@@ -179,7 +180,7 @@
     async def _release_group(
         self, group: GroupReservation, attempt: Attempt, *, succeeded: bool
     ) -> None:
-        """Frees what the attempt left on each endpoint, then its room."""
+        """Frees the attempt on each endpoint and releases the reservations."""
         freed = [
             await self._free_endpoint(held, attempt)
             for held in group.reservations
--- a/src/auburnswitch/routing/length_classes.py
+++ b/src/auburnswitch/routing/length_classes.py
@@ -1,4 +1,4 @@
-"""Counts tokens and sorts prompts into length classes."""
+"""Estimates token counts and assigns prompts to length classes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def estimate_tokens(text: str, settings: RoutingSettings) -> int:
-    """Estimates the tokens of a text from its size in UTF-8."""
+    """Estimates the number of tokens of a text from its size in UTF-8."""
     size_bytes = len(text) if text.isascii() else len(text.encode())
     return max(1, math.ceil(size_bytes / settings.bytes_per_token))
 
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -1,7 +1,7 @@
-"""Compares what engines report with what daemons are known to have there.
+"""Compares the load that engines report with the known work of daemons.
 
-Engines go on working for a daemon that lost power, and may turn slow; neither
-shows in the daemons' own account.
+Engines keep running requests of a daemon that lost power, and may become slow.
+The work that daemons publish shows neither.
 """
 
 from __future__ import annotations
@@ -26,28 +26,27 @@
     from auburnswitch.routing.fleet_load import FleetLoad
 
 OBSERVE_INTERVAL_S: Final = 2.0
-FAST_OBSERVE_INTERVAL_S: Final = (
-    0.5  # after the start, and while something is unknown
-)
+# After the start, and for engines with unknown requests or a slowdown.
+FAST_OBSERVE_INTERVAL_S: Final = 0.5
 STARTUP_S: Final = 8.0
 SLOWDOWN_THRESHOLD: Final = 1.15
 MAX_CONCURRENT_REPORTS: Final = 24
 
 
 class LoadObserver:
-    """Asks the engines that this daemon observes for their load.
+    """Polls the engines assigned to this daemon for their load.
 
-    Each engine is observed by one live daemon, which tells the others. The
-    engines of one round are bounded, as a daemon that has just started believes
-    that it is alone.
+    Each engine is polled by one live daemon, which publishes the results to the
+    others. The number of engines polled in one round is bounded, as a daemon
+    that has just started sees no peers and assigns all engines to itself.
 
     Attributes:
-        installation: The endpoints.
-        load: What all daemons have at each endpoint.
-        calls: Calls to endpoints.
+        installation: The endpoints and services.
+        load: Work of all daemons on each endpoint.
+        calls: Client for calls to endpoints.
         instance: This daemon's instance.
         live_instances: Returns the instances of the live peers.
-        publish: Tells the peers of reports.
+        publish: Publishes reports to peers.
     """
 
     __slots__ = (
@@ -85,7 +84,7 @@
         self._assignment_key: tuple[frozenset[str], int] = (frozenset(), -1)
 
     async def run(self) -> None:
-        """Observes engines until it is cancelled."""
+        """Polls engines until cancelled."""
         while True:
             await asyncio.sleep(FAST_OBSERVE_INTERVAL_S)
             due = self._due_engines()
@@ -97,11 +96,11 @@
                 self.publish(changed_reports)
 
     def apply_report(self, report: EngineReport) -> None:
-        """Takes over a report that a peer has read."""
+        """Applies a report published by a peer."""
         self.load.by_endpoint[report.endpoint].apply_report(report)
 
     def _due_engines(self) -> list[KnownEndpoint]:
-        """Returns the engines that this daemon has to ask now."""
+        """Returns the assigned engines that are due for a poll."""
         self._refresh_assignment()
         now = monotonic_s()
         due = [
@@ -113,7 +112,7 @@
         return due[:MAX_CONCURRENT_REPORTS]
 
     def _refresh_assignment(self) -> None:
-        """Finds this daemon's engines again if anything has changed."""
+        """Reassigns engines if the live daemons or the endpoints changed."""
         table = self.installation.table
         if table is None:
             return
@@ -132,7 +131,11 @@
         ]
 
     async def _observe(self, endpoint: KnownEndpoint) -> EngineReport | None:
-        """Asks one engine; returns what peers have to know, if anything."""
+        """Polls one engine.
+
+        Returns:
+            The report if it has to be published to peers, else None.
+        """
         now = monotonic_s()
         load = self.load.by_endpoint[endpoint.entry.id]
         load_report = await self.calls.report(endpoint.entry)
@@ -149,7 +152,8 @@
             slowdown=load_report.slowdown,
         )
         if not unknown_requests:
-            report.unknown_tokens = 0  # of requests that have just ended
+            # The excess memory belongs to requests that have just ended.
+            report.unknown_tokens = 0
         was_abnormal = (
             load.unknown_requests > 0 or load.slowdown >= SLOWDOWN_THRESHOLD
         )
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -1,4 +1,4 @@
-"""Reserves memory at several engines for a prompt too large for one."""
+"""Reserves KV cache memory on several engines for one large prompt."""
 
 from __future__ import annotations
 
@@ -18,9 +18,8 @@
     from auburnswitch.routing.endpoint_selector import Placement
     from auburnswitch.schema.installation import EndpointEntry
 
-RESERVATION_LEASE_MS: Final = (
-    3400  # an engine frees it by itself if this daemon dies
-)
+# If this daemon dies, the engine frees the memory after the lease.
+RESERVATION_LEASE_MS: Final = 3400
 RENEW_INTERVAL_S: Final = 1.0
 MAX_RELEASE_ATTEMPTS: Final = 3
 RELEASE_RETRY_DELAY_S: Final = 0.3
@@ -28,22 +27,22 @@
 
 @dataclass(slots=True, kw_only=True)
 class MemoryRefusal:
-    """Some engines did not grant a reservation; none is kept.
+    """A refused reservation; reservations on other engines are released.
 
     Attributes:
-        endpoints: Their ids.
+        endpoints: Ids of the engines that did not grant it.
     """
 
     endpoints: list[str]
 
 
 class MemoryReservations:
-    """Makes, renews and ends reservations, all of a prompt or none.
+    """Makes, renews and releases reservations, all or none for a prompt.
 
     Attributes:
-        calls: Calls to endpoints.
-        prefix: Start of all keys, unique to this process.
-        release_tasks: Tasks that still end reservations.
+        calls: Client for calls to endpoints.
+        prefix: Prefix of all reservation keys, unique to this process.
+        release_tasks: Running tasks that release reservations.
     """
 
     __slots__ = ("_number", "calls", "prefix", "release_tasks")
@@ -58,7 +57,7 @@
     async def reserve(
         self, request_id: str, placement: Placement
     ) -> AsyncIterator[list[PrefillHelper] | MemoryRefusal]:
-        """Reserves a placement's memory until the context ends.
+        """Reserves a placement's memory until the context manager exits.
 
         Yields:
             The placement's helpers with their reservations, or the engines
@@ -104,7 +103,7 @@
     async def _reserve_all(
         self, endpoints: list[EndpointEntry], key: str, tokens: int
     ) -> list[str]:
-        """Returns the ids of the engines that did not grant it."""
+        """Returns the ids of the engines that did not grant a reservation."""
         grants = await asyncio.gather(
             *(
                 self.calls.reserve(
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -1,4 +1,4 @@
-"""Waits for room at an endpoint, for as long as that serves anybody."""
+"""Waits for endpoint capacity and lets long prompts yield to others."""
 
 from __future__ import annotations
 
@@ -16,25 +16,27 @@
 
 PLACEMENT_POLL_INTERVAL_S: Final = 0.02
 MAX_PLACEMENT_WAIT_SHARE: Final = 0.12  # of the target latency
-YIELD_MIN_TARGET_S: Final = 1.0  # callers of shorter ones leave soon
+# Below this target latency callers disconnect early, so requests never yield.
+YIELD_MIN_TARGET_S: Final = 1.0
 MAX_YIELD_TARGET_RATIO: Final = 1.3
-MAX_YIELD_TIME_SHARE: Final = 0.3  # of the time left
-MAX_DEFERRAL_TARGET_SHARE: Final = 0.8  # of the target latency that is left
-DEADLINE_SAFETY_FACTOR: Final = (
-    1.25  # of the time that the answer's start still takes
-)
+MAX_YIELD_TIME_SHARE: Final = 0.3  # of the time left to the deadline
+MAX_DEFERRAL_TARGET_SHARE: Final = 0.8  # of the remaining target latency
+DEADLINE_SAFETY_FACTOR: Final = 1.25  # of the predicted first-token time
 
 
 async def wait_for_placement(
     selector: EndpointSelector, job: DeliveryJob
 ) -> Placement | None:
-    """Waits a short time for room at an endpoint.
+    """Waits a limited time for a placement.
 
-    A long prompt that would be late anyway lets others go first for a
-    while, so that it does not make them late as well, as long as it can
-    still be answered after that. So does one that would hold up others, as
-    long as it is in time. What no endpoint could take, were it idle,
-    does not wait at all.
+    A request that is predicted to miss its target latency anyway yields to
+    others for a limited time, so that it does not make them late as well, as
+    long as it can still meet its deadline. A request that would delay others
+    also yields, as long as it can still meet its target latency. A request
+    that even idle endpoints could not serve does not wait.
+
+    Returns:
+        The placement, None if there is none within the wait.
     """
     target_s = job.route.target_latency_s
     now = monotonic_s()
@@ -46,7 +48,7 @@
         if placement is not None and (
             placement.first_token_s > job.time_left_s()
         ):
-            placement = None  # nothing would come of it
+            placement = None  # the first token would miss the deadline
         if placement is None and now >= give_up_at:
             return None
         if placement is not None and (
@@ -58,7 +60,7 @@
 
 
 def _should_defer(job: DeliveryJob, placement: Placement) -> bool:
-    """Whether waiting serves others and costs the request nothing."""
+    """Returns whether the request yields to others without harm to itself."""
     if placement.first_token_s * DEADLINE_SAFETY_FACTOR > job.time_left_s():
         return False
     if placement.late:
@@ -71,7 +73,7 @@
 
 
 def _max_yield_s(job: DeliveryJob) -> float:
-    """Returns how long a late request lets others go first."""
+    """Returns how long a request may yield to others, in seconds."""
     target_s = job.route.target_latency_s
     if target_s < YIELD_MIN_TARGET_S:
         return 0.0
--- a/src/auburnswitch/routing/placer.py
+++ b/src/auburnswitch/routing/placer.py
@@ -1,4 +1,4 @@
-"""Chooses an endpoint and reserves room on it."""
+"""Chooses an endpoint for a request and reserves capacity on it."""
 
 from __future__ import annotations
 
@@ -41,9 +41,8 @@
 WAIT_SLACK_S: Final = 0.01
 COLD_RETRY_AFTER_S: Final = 5.0
 FRESH_HINT_MAX_AGE_S: Final = 0.05
-STALENESS_PENALTY_PER_S: Final = (
-    0.2  # wait that may have come, per second of a hint's age
-)
+# Seconds of wait that may have built up per second of a hint's age.
+STALENESS_PENALTY_PER_S: Final = 0.2
 STALENESS_MAX_AGE_S: Final = 1.0
 UNKNOWN_PHASE_PENALTY_S: Final = 0.5
 FULL_PENALTY_S: Final = 1.0
@@ -53,19 +52,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class FinalRefusal:
-    """A refusal that asking again would not change."""
+    """A refusal that a retry of the reservation would not change."""
 
     refusal: Refusal
 
 
 class Placer:
-    """Finds room for requests by hints and owners' answers.
+    """Places requests by endpoint hints and the replies of endpoint owners.
 
     Attributes:
-        endpoint_manager: Hints and ownership.
-        reservations: This daemon's reservations.
-        policy: How the endpoint is chosen.
-        strikes: Requests that were in flight at crashes.
+        endpoint_manager: Holds the endpoint hints and the owner table.
+        policy: Selects the placement algorithm.
+        reservations: Requests and tracks this daemon's reservations.
+        rng: Random generator for sampling and tie-breaks.
+        strikes: Requests that were in flight at engine crashes.
     """
 
     __slots__ = (
@@ -94,14 +94,14 @@
     async def place(
         self, request: RoutedRequest, excluded: set[str]
     ) -> HeldReservation | Refusal:
-        """Reserves room on the endpoint that looks best.
+        """Reserves capacity on the best endpoint for a request.
 
         Args:
             request: The request.
             excluded: Endpoints that must not be used.
 
         Returns:
-            The reservation, or why there is none.
+            The reservation, or the reason for the refusal.
         """
         match self.policy:
             case PowerOfTwoChoicesPolicy(sample_size=sample_size):
@@ -128,7 +128,7 @@
     async def _place_by_owners(
         self, request: RoutedRequest, excluded: set[str]
     ) -> HeldReservation | Refusal:
-        """Asks owners in rounds until one grants room or none ever can."""
+        """Runs probe rounds until a grant, a final refusal or the deadline."""
         started_at = monotonic_s()
         last_refusal = refusal(
             ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
@@ -152,11 +152,11 @@
     async def _run_probe_round(
         self, request: RoutedRequest, excluded: set[str], started_at: float
     ) -> HeldReservation | FinalRefusal | Refusal:
-        """Asks owners once, from the most to the least promising.
+        """Requests a reservation from owners in order of predicted wait.
 
-        Each asks for the wait that the next best endpoint promises at most,
-        so that a stale hint costs one call and no time. The last call waits
-        in the queue of the best endpoint among those just heard of.
+        Each request limits the wait to the one predicted for the next best
+        endpoint, so that a stale hint costs one call but no queueing time. The
+        last request has no such limit and prefers endpoints with fresh hints.
         """
         refused_by: set[str] = set()
         last_refusal: Refusal | None = None
@@ -193,7 +193,7 @@
     def _no_candidate_refusal(
         self, request: RoutedRequest, excluded: set[str]
     ) -> Refusal:
-        """Returns why no endpoint can be asked."""
+        """Returns the refusal for a request without a candidate endpoint."""
         if any(
             self._exceeds_cold_limit(request, name)
             for name in self._schedulable_endpoints(request, excluded)
@@ -208,14 +208,17 @@
         )
 
     def _exceeds_cold_limit(self, request: RoutedRequest, name: str) -> bool:
-        """Tells whether an endpoint is cold and the prompt too long for it."""
+        """Returns whether the prompt is too long for a cold endpoint."""
         if self.endpoint_manager.latest_hint(name).phase != EndpointPhase.COLD:
             return False
         spec = self.endpoint_manager.state.endpoints[name]
         return request.prompt_tokens > spec.cold_max_tokens
 
     def _wait_limit_s(self, request: RoutedRequest, names: list[str]) -> float:
-        """Returns the longest wait worth taking at the first endpoint."""
+        """Returns the longest acceptable wait at the first endpoint.
+
+        The result is in seconds; 0.0 means that the wait is not limited.
+        """
         if len(names) < 2 or self.strikes.is_struck(request.fingerprint):
             return 0.0
         return self._predicted_wait_s(request, names[1]) + WAIT_SLACK_S
@@ -231,7 +234,7 @@
     def _all_start_too_late(
         self, request: RoutedRequest, excluded: set[str]
     ) -> bool:
-        """Tells whether no endpoint promises a start within the deadline."""
+        """Returns whether every predicted wait exceeds the time left."""
         names = self._candidates(request, excluded)
         time_left_s = request.time_left_s()
         return all(
@@ -242,7 +245,7 @@
     def _schedulable_endpoints(
         self, request: RoutedRequest, excluded: set[str]
     ) -> list[str]:
-        """Returns the endpoints that receive new work."""
+        """Returns the endpoints of the service that accept new work."""
         endpoint_manager = self.endpoint_manager
         return [
             name
@@ -271,10 +274,11 @@
     def _rendezvous_order(
         self, request: RoutedRequest, names: list[str]
     ) -> list[str]:
-        """Returns an order that all daemons agree on.
+        """Orders endpoints by rendezvous hashing on the fingerprint.
 
-        So copies of one request that come through several daemons meet at
-        one owner, which runs them one after the other.
+        All daemons compute the same order, so copies of one request that
+        arrive through several daemons reach the same owner, which runs them
+        one after the other.
         """
         warm = [
             name
@@ -288,7 +292,11 @@
         )
 
     def _predicted_wait_s(self, request: RoutedRequest, name: str) -> float:
-        """Returns the wait that the newest hint of an endpoint promises."""
+        """Predicts the wait at an endpoint from its newest hint, in seconds.
+
+        The result includes penalties for the hint's age and the endpoint's
+        state.
+        """
         hint = self.endpoint_manager.latest_hint(name)
         age_s = self._hint_age_s(name)
         wait_s = hint.short_wait_s
@@ -298,7 +306,7 @@
         if hint.long_wait_s - age_s > max(remaining_s, CHUNK_DELAY_S):
             remaining_s = max(
                 remaining_s, CHUNK_DELAY_S
-            )  # a long prompt gives way
+            )  # delay until a long prompt is preempted
         staleness_penalty_s = STALENESS_PENALTY_PER_S * min(
             age_s, STALENESS_MAX_AGE_S
         )
@@ -335,12 +343,12 @@
 
 
 def roster_epoch(endpoint_manager: EndpointManager) -> int:
-    """Returns the roster epoch that the owner table goes by."""
+    """Returns the roster epoch on which the owner table is based."""
     return endpoint_manager.view.roster.epoch
 
 
 def unreserved_work(endpoint: str, request: RoutedRequest) -> RunningWork:
-    """Returns work of a request that no owner has granted."""
+    """Builds the work record of a request without an owner's grant."""
     return RunningWork(
         endpoint=endpoint,
         reservation_id=f"{request.id}/{request.attempts}",
@@ -365,7 +373,7 @@
 
 
 def _penalty_s(request: RoutedRequest, hint: EndpointHint) -> float:
-    """Returns what makes an endpoint less promising than its wait."""
+    """Returns the penalty for an unknown phase or lack of capacity."""
     penalty_s = 0.0
     if hint.phase is EndpointPhase.UNKNOWN:
         penalty_s += UNKNOWN_PHASE_PENALTY_S
--- a/src/auburnswitch/routing/prefill_planner.py
+++ b/src/auburnswitch/routing/prefill_planner.py
@@ -1,12 +1,13 @@
-"""Chooses the engine that writes an answer and those that help to read.
+"""Chooses the decode engine and the prefill helpers for a prompt.
 
-Reading a long prompt holds up the answers that an engine writes at the same
-time. So a prompt is split into parts that several engines read together, each
-part short enough for the pauses that the engine's answers allow, and engines
-that write answers with short pauses are left to short prompts.
+The prefill of a long prompt delays the answers that an engine decodes at the
+same time. A prompt is therefore split into parts that several engines prefill
+jointly. Each part is short enough for the target gaps of the answers decoded on
+its engine, and engines that decode answers with short target gaps are kept for
+short prompts.
 
-An engine reads the newest part of a joint read first. So a new one is given
-engines on which it makes no other one late.
+An engine runs the newest part of a joint prefill first. A new joint prefill is
+therefore placed on engines where it makes no other joint prefill late.
 """
 
 from __future__ import annotations
@@ -37,40 +38,38 @@
 PART_COUNTS: Final = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 17)
 MAX_ENGINES: Final = max(PART_COUNTS)
 MIN_PART_MS: Final = 40.0
-PART_PENALTY_MS: Final = (
-    20.0  # of first-token time that a further part is worth
-)
-TARGET_LATENCY_SHARE: Final = (
-    0.8  # of the target latency that a prediction may take
-)
-TARGET_GAP_SHARE: Final = 0.7  # of an allowed pause that a prediction may take
+# First-token time that each additional part must save.
+PART_PENALTY_MS: Final = 20.0
+# Shares of the target latency and the target gap that predictions may use.
+TARGET_LATENCY_SHARE: Final = 0.8
+TARGET_GAP_SHARE: Final = 0.7
 PACKING_BONUS_MS: Final = 60.0
 PACKING_BONUS_PER_DECODE_MS: Final = 20.0
 SPARE_SLOTS: Final = 1
 DECODE_PENALTY_MS: Final = 60.0
-SLOWDOWN_PENALTY_MS: Final = 150.0  # for each time that it is slower than usual
+SLOWDOWN_PENALTY_MS: Final = 150.0  # per unit of slowdown above 1
 MAX_TIE_BREAK_PENALTY_MS: Final = 60.0
 HASH_RANGE: Final = 65536
 DEFAULT_TARGET_GAP_MS: Final = 1000.0
-LATENESS_MS_PER_WEIGHT: Final = (
-    10_000.0  # of lateness that is as bad as one usual answer
-)
+# First-token time that costs as much as an answer with the reference gap.
+LATENESS_MS_PER_WEIGHT: Final = 10_000.0
 MAX_HOLDERS: Final = 5
 
 
 @dataclass(slots=True, kw_only=True)
 class PrefillPlan:
-    """Where a prompt is read and its answer written.
+    """The engines that prefill a prompt and decode its answer.
 
     Attributes:
-        decode_engine: Endpoint that gets the request.
-        helpers: Endpoints that read parts of the prompt.
-        part_ms: Reading time of each part.
+        decode_engine: Endpoint that receives the request.
+        helpers: Endpoints that prefill parts of the prompt.
+        part_ms: Prefill time of each part.
         first_token_ms: Predicted time to the first token.
-        memory_tokens: Memory that the request needs at the writer, and at
-            each holder.
-        holders: How many of the first helpers hold a part of the memory.
-        interference_cost: Weight of the other answers that it holds up.
+        memory_tokens: KV cache memory that the request needs on the decode
+            engine and on each holder.
+        holders: Number of helpers, from the first, that hold a part of the KV
+            cache.
+        interference_cost: Cost of the other answers that the plan delays.
     """
 
     decode_engine: KnownEndpoint
@@ -94,14 +93,14 @@
     Args:
         model: Speed and size of the engines.
         prompt: The prompt and its targets.
-        candidates: Endpoints that may get it, with their loads.
+        candidates: Endpoints that may be used, with their loads.
         now: Loop time, in seconds.
-        tie_break: Equally good engines are preferred in an order that
-            follows from this text.
+        tie_break: Text whose hash with an endpoint's id gives the preference
+            among equally good engines.
 
     Returns:
-        A plan that is in time and makes no other answer late, else the one
-        that loses least; None if no engine has room for the answer.
+        A plan that is on time and makes no other answer late, else the plan
+        with the lowest cost; None if no engine has capacity for the answer.
     """
     if prompt.target_gap_ms <= 0:
         prompt.target_gap_ms = DEFAULT_TARGET_GAP_MS
@@ -126,9 +125,15 @@
 
 
 def engines_needed(model: EngineModel, tokens: int) -> int | None:
-    """Returns how many idle engines hold a prompt and its answer.
+    """Returns how many idle engines can hold a request's KV cache.
 
-    None means that no number of them can.
+    Args:
+        model: Speed and size of the engines.
+        tokens: Tokens of the prompt and its answer.
+
+    Returns:
+        The number of engines, None if the KV cache is too large for any
+        allowed number.
     """
     if model.memory_tokens <= 0:
         return None
@@ -137,21 +142,23 @@
 
 
 def min_prefill_ms(model: EngineModel, tokens: int, engines: int) -> float:
-    """Returns the time in which idle engines together read a prompt."""
+    """Returns the joint prefill time of a prompt on idle engines."""
     parts = max(n for n in PART_COUNTS if n <= max(1, engines))
     return engine_latency.prefill_ms(model, tokens) / parts
 
 
 class _PlanSearch:
-    """Looks for a plan with a given number of holders.
+    """Searches for a plan with a given number of holders.
 
     Attributes:
         model: Speed and size of the engines.
         prompt: The prompt and its targets.
         engines: The candidates.
-        holders: Helpers that hold an equal part of the memory each.
-        tokens_per_engine: Memory needed at the writer and at each holder.
-        total_prefill_ms: Time in which one engine reads the prompt.
+        holders: Number of helpers that each hold an equal part of the KV cache.
+        tokens_per_engine: KV cache memory needed on the decode engine and on
+            each holder.
+        total_prefill_ms: Time in which one engine prefills the whole prompt.
+        decode_candidates: Engines with a slot and memory for the answer.
     """
 
     __slots__ = (
@@ -188,7 +195,7 @@
         ]
 
     def run(self) -> PrefillPlan | None:
-        """Returns the best plan, None if the engines have no room."""
+        """Returns the best plan, None if the engines lack the capacity."""
         if not self.decode_candidates:
             return None
         plans: list[PrefillPlan] = []
@@ -213,7 +220,7 @@
         )
 
     def _plan_cost(self, plan: PrefillPlan) -> float:
-        """Returns the weight that a plan loses, of its own and of others."""
+        """Returns the cost of a plan for its own request and for others."""
         cost = (
             plan.interference_cost
             + plan.first_token_ms / LATENESS_MS_PER_WEIGHT
@@ -248,16 +255,8 @@
             }
             plan = self._plan_parts(
                 parts,
-                [
-                    engine
-                    for engine in decode_candidates
-                    if id(engine) in eligible
-                ],
-                [
-                    engine
-                    for engine in helper_candidates
-                    if id(engine) in eligible
-                ],
+                [e for e in decode_candidates if id(e) in eligible],
+                [e for e in helper_candidates if id(e) in eligible],
             )
             if plan is not None:
                 plans.append(plan)
@@ -283,9 +282,7 @@
             decode_candidates[0],
         )
         helper_candidates = [
-            engine
-            for engine in helper_candidates
-            if engine is not decode_engine
+            e for e in helper_candidates if e is not decode_engine
         ]
         holder_engines = [e for e in helper_candidates if self._has_memory(e)][
             : self.holders
@@ -296,9 +293,7 @@
         ):
             return None
         other_helpers = [
-            engine
-            for engine in helper_candidates
-            if engine not in holder_engines
+            e for e in helper_candidates if e not in holder_engines
         ]
         helpers = [*holder_engines, *other_helpers[: parts - 1 - self.holders]]
         chosen = (decode_engine, *helpers)
@@ -342,10 +337,10 @@
 def _interference_cost(
     engines: Sequence[EngineCandidate], part_ms: float
 ) -> float:
-    """Returns the weight of the answers that parts on engines hold up."""
+    """Returns the cost of the answers that parts on the engines delay."""
     cost = sum(engine.interference_cost(part_ms) for engine in engines)
     if len(engines) == 1:
-        return cost  # it is read after all joint reads
+        return cost  # it is prefilled after all joint prefills
     joint = {}
     for engine in engines:
         joint |= engine.joint_prefills
@@ -355,8 +350,8 @@
 @functools.lru_cache(maxsize=65536)
 def _tie_break_penalty_ms(tie_break: str, endpoint: str) -> float:
     digest = hashlib.blake2b(f"{tie_break}/{endpoint}".encode(), digest_size=2)
-    share = int.from_bytes(digest.digest(), "big") / HASH_RANGE
-    return share * MAX_TIE_BREAK_PENALTY_MS
+    fraction = int.from_bytes(digest.digest(), "big") / HASH_RANGE
+    return fraction * MAX_TIE_BREAK_PENALTY_MS
 
 
 def _helper_cost_ms(engine: EngineCandidate) -> float:
--- a/tests/routing/test_cold_fleet.py
+++ b/tests/routing/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of prompts above what a cold endpoint bears."""
+"""Tests of prompts that exceed the token limit of a cold endpoint."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from auburnswitch.standins.engine_options import EngineOptions
 from tests.virtual_time import SimulatedConnector, run_virtual
 
-PROMPT = "x" * 120_000  # 30,000 tokens; a cold engine bears 20,000
+LONG_PROMPT = "x" * 120_000  # 30,000 tokens; a cold engine accepts 20,000
 DEADLINE_S = 60.0
-AT_ONCE_S = 5.0
+IMMEDIATE_REFUSAL_S = 5.0
 
 
 class ColdFleetTest(unittest.TestCase):
-    def test_long_prompt_on_an_idle_cold_fleet_is_not_held(self):
+    def test_long_prompt_on_idle_cold_fleet_does_not_wait(self):
         async def scenario():
             options = FleetOptions(
                 engines=2,
@@ -36,16 +36,16 @@
                     fleet.caller_url("entry-0"),
                     "entry-0",
                     model=MODEL,
-                    prompt=PROMPT,
+                    prompt=LONG_PROMPT,
                     tokens=8,
                     deadline_s=DEADLINE_S,
                 )
 
         outcome = run_virtual(scenario).outcome
-        refused_at_once = outcome.total_s <= AT_ONCE_S
-        self.assertTrue(outcome.result == "ok" or refused_at_once, outcome)
+        refused_immediately = outcome.total_s <= IMMEDIATE_REFUSAL_S
+        self.assertTrue(outcome.result == "ok" or refused_immediately, outcome)
 
-    def test_long_prompt_finds_the_one_engine_that_is_warm(self):
+    def test_long_prompt_is_placed_on_only_warm_engine(self):
         async def scenario():
             options = FleetOptions(
                 engines=8,
@@ -60,7 +60,7 @@
                     session=fleet.session, caller_key=CALLER_KEY
                 )
                 outcomes = []
-                for prompt in ("short", PROMPT):
+                for prompt in ("short", LONG_PROMPT):
                     record = await caller.complete(
                         fleet.caller_url("entry-0"),
                         "entry-0",
--- a/tests/routing/test_fleet_load.py
+++ b/tests/routing/test_fleet_load.py
@@ -1,4 +1,4 @@
-"""The ledger of all daemons' work at endpoints."""
+"""Tests of the work of all daemons on endpoints."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from tests.virtual_time import run_virtual
 
 
-def item(number: int, **values) -> WorkItem:
-    made = {"endpoint": "a", "read_ms": 100.0, "remaining_ms": 1000.0}
-    return WorkItem(id=number, **{**made, **values})
+def make_item(item_id: int, **values) -> WorkItem:
+    defaults = {"endpoint": "a", "read_ms": 100.0, "remaining_ms": 1000.0}
+    return WorkItem(id=item_id, **{**defaults, **values})
 
 
 class FleetLoadTest(unittest.TestCase):
-    def test_reading_queues_up_and_is_given_back(self):
+    def test_prefill_backlog_grows_and_shrinks_with_requests(self):
         async def run():
             load = FleetLoad()
             now = asyncio.get_running_loop().time()
-            load.add("me", item(1))
-            load.add("peer", item(1))
+            load.add("me", make_item(1))
+            load.add("peer", make_item(1))
             self.assertAlmostEqual(
                 load.by_endpoint["a"].backlog_ms(now), 200.0, delta=0.1
             )
@@ -37,12 +37,12 @@
 
         run_virtual(run)
 
-    def test_helpers_are_free_after_reading_unless_they_hold(self):
+    def test_helpers_are_released_after_prefill_unless_holders(self):
         async def run():
             load = FleetLoad()
             load.add(
                 "me",
-                item(
+                make_item(
                     1,
                     helpers=["b", "c"],
                     holders=1,
@@ -61,20 +61,22 @@
 
         run_virtual(run)
 
-    def test_newest_part_of_a_joint_read_goes_first(self):
+    def test_newest_joint_prefill_runs_first(self):
         async def run():
             load = FleetLoad()
             now = asyncio.get_running_loop().time()
-            for number in (1, 2):
-                load.add("me", item(number, helpers=["b"], due_ms=150.0))
-            load.add("me", item(3))
-            reads = load.by_endpoint["a"].joint_prefills(now)
-            until = [share.prefill_ends_at - now for share in reads.values()]
-            self.assertAlmostEqual(until[0], 0.2, delta=0.01)
-            self.assertAlmostEqual(until[1], 0.1, delta=0.01)
-            alone = load.by_endpoint["a"].work_by_request["me", 3]
+            for item_id in (1, 2):
+                load.add("me", make_item(item_id, helpers=["b"], due_ms=150.0))
+            load.add("me", make_item(3))
+            prefills = load.by_endpoint["a"].joint_prefills(now)
+            remaining_s = [
+                work.prefill_ends_at - now for work in prefills.values()
+            ]
+            self.assertAlmostEqual(remaining_s[0], 0.2, delta=0.01)
+            self.assertAlmostEqual(remaining_s[1], 0.1, delta=0.01)
+            single_prefill = load.by_endpoint["a"].work_by_request["me", 3]
             self.assertAlmostEqual(
-                alone.prefill_starts_at - now, 0.2, delta=0.01
+                single_prefill.prefill_starts_at - now, 0.2, delta=0.01
             )
             load.remove("me", 2)
             (first,) = load.by_endpoint["a"].joint_prefills(now).values()
@@ -85,22 +87,22 @@
 
         run_virtual(run)
 
-    def test_whole_list_of_a_peer_replaces_what_was_known(self):
+    def test_full_item_list_replaces_previous_items_of_peer(self):
         async def run():
             load = FleetLoad()
-            load.add("peer", item(1))
-            load.add("peer", item(2))
-            load.replace("peer", [item(2), item(3, endpoint="b")])
+            load.add("peer", make_item(1))
+            load.add("peer", make_item(2))
+            load.replace("peer", [make_item(2), make_item(3, endpoint="b")])
             self.assertEqual(load.by_endpoint["a"].decode_count, 1)
             self.assertEqual(load.by_endpoint["b"].decode_count, 1)
 
         run_virtual(run)
 
-    def test_work_of_a_silent_peer_expires_but_not_ones_own(self):
+    def test_work_of_silent_peer_expires_but_own_work_does_not(self):
         async def run():
             load = FleetLoad()
-            load.add("peer", item(1, remaining_ms=100.0))
-            load.add("me", item(1, remaining_ms=100.0))
+            load.add("peer", make_item(1, remaining_ms=100.0))
+            load.add("me", make_item(1, remaining_ms=100.0))
             await asyncio.sleep(3)
             load.expire("me")
             self.assertEqual(load.by_endpoint["a"].decode_count, 1)
--- a/tests/routing/test_group_placer.py
+++ b/tests/routing/test_group_placer.py
@@ -1,4 +1,4 @@
-"""Tests of prompts that are larger than one engine."""
+"""Tests of prompts that are too large for one engine."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from tests.virtual_time import SimulatedConnector, run_virtual
 
 AUTHORIZATION = {"Authorization": f"Bearer {CALLER_KEY}"}
-MEMORY_TOKENS = 50_000  # a tenth of an engine, so that prompts stay small
+MEMORY_TOKENS = 50_000  # a tenth of an engine's, to keep prompts small
 TOKENS = 100_000
 ANSWER_TOKENS = 8
-SETTLED_S = 20.0
+SETTLE_S = 20.0
 
 
-async def ask(fleet, tokens=TOKENS, number=0):
+async def request_completion(fleet, tokens=TOKENS, number=0):
     body = {
         "model": MODEL,
         "prompt": f"{number} ".ljust(4 * tokens, "."),
@@ -39,7 +39,7 @@
 
 
 def run_fleet(scenario, memory_tokens=MEMORY_TOKENS):
-    """Runs a scenario; returns its result and the memory left in use."""
+    """Returns a scenario's result and the memory used and reserved after it."""
 
     async def run():
         options = FleetOptions(
@@ -53,7 +53,7 @@
         async with open_fleet(options) as fleet:
             await warm_up(fleet)
             result = await scenario(fleet)
-            await asyncio.sleep(SETTLED_S)
+            await asyncio.sleep(SETTLE_S)
             used = [e.batch.memory_used_tokens for e in fleet.engines.values()]
             reserved = [
                 ledger.reserved_tokens
@@ -66,9 +66,9 @@
 
 
 class GroupTest(unittest.TestCase):
-    def test_answer_to_a_million_tokens(self):
+    def test_million_token_prompt_is_answered(self):
         async def scenario(fleet):
-            return await ask(fleet, tokens=1_000_000)
+            return await request_completion(fleet, tokens=1_000_000)
 
         outcome, used, reserved = run_fleet(scenario, memory_tokens=500_000)
         digest = prompt_digest("0 ".ljust(4_000_000, "."))
@@ -76,39 +76,41 @@
         self.assertEqual(outcome.text, answer_text(digest, ANSWER_TOKENS))
         self.assertEqual((used, reserved), (0, 0))
 
-    def test_groups_that_want_the_same_engines_all_finish(self):
+    def test_groups_competing_for_same_engines_all_finish(self):
         async def scenario(fleet):
-            calls = [ask(fleet, number=n) for n in range(5)]
+            calls = [request_completion(fleet, number=n) for n in range(5)]
             return [o.result for o in await asyncio.gather(*calls)]
 
         results, used, reserved = run_fleet(scenario)
         self.assertEqual(results, ["ok"] * 5)
         self.assertEqual((used, reserved), (0, 0))
 
-    def test_crash_in_the_middle_frees_every_part(self):
+    def test_engine_crash_during_prefill_releases_all_reservations(self):
         async def scenario(fleet):
-            call = asyncio.create_task(ask(fleet))
-            await asyncio.sleep(2.5)  # the second segment is in prefill
-            busy = [e for e in fleet.engines.values() if e.batch.jobs()]
-            busy[0].crash()
-            return len(busy), (await call).result
+            call = asyncio.create_task(request_completion(fleet))
+            await asyncio.sleep(
+                2.5
+            )  # an engine is prefilling the second segment
+            busy_engines = [e for e in fleet.engines.values() if e.batch.jobs()]
+            busy_engines[0].crash()
+            return len(busy_engines), (await call).result
 
         result, used, reserved = run_fleet(scenario)
         self.assertEqual(result, (1, "ok"))
         self.assertEqual((used, reserved), (0, 0))
 
-    def test_caller_that_goes_away_frees_every_part(self):
+    def test_caller_disconnect_releases_all_reservations(self):
         async def scenario(fleet):
-            call = asyncio.create_task(ask(fleet))
+            call = asyncio.create_task(request_completion(fleet))
             await asyncio.sleep(2.5)
             call.cancel()
 
         _, used, reserved = run_fleet(scenario)
         self.assertEqual((used, reserved), (0, 0))
 
-    def test_prompt_that_fits_no_group_is_refused_at_once(self):
+    def test_prompt_too_large_for_any_group_is_refused_immediately(self):
         async def scenario(fleet):
-            return await ask(fleet, tokens=6 * MEMORY_TOKENS)
+            return await request_completion(fleet, tokens=6 * MEMORY_TOKENS)
 
         outcome, _, _ = run_fleet(scenario)
         self.assertEqual(outcome.result, "prompt_too_long")
--- a/tests/routing/test_joint_prefills.py
+++ b/tests/routing/test_joint_prefills.py
@@ -1,8 +1,9 @@
-"""Waves of long prompts on engines that read the newest part first.
+"""Tests of bursts of long prompts on engines that run the newest part first.
 
-The pattern: long prompts come faster than engines read them, all with the same
-idle engines as helpers. Each new part goes before those that have begun, so
-that the oldest joint reads stand still until they are given up.
+Guards against starvation of joint prefills: long prompts arrive faster than
+engines prefill them, and all use the same idle engines as helpers. Each new
+part preempts the parts that have started, so the oldest joint prefills make no
+progress until they time out.
 """
 
 from __future__ import annotations
@@ -26,18 +27,18 @@
 if TYPE_CHECKING:
     from auburnswitch.routing.endpoint_selector import EndpointSelector
 
-STEP_S = 0.005
+SIMULATION_STEP_S = 0.005
 ENGINES = 12
-JOBS = 24
-ARRIVAL_S = 0.35  # as much as the engines can read
-LONGEST_S = 12.0
+REQUESTS = 24
+ARRIVAL_INTERVAL_S = 0.35  # matches the prefill capacity of the engines
+TIMEOUT_S = 12.0
 
 
-class NewestFirst:
-    """Engines that read one part at a time, the newest one first.
+class NewestFirstEngines:
+    """Engines that prefill one part at a time, the newest one first.
 
     Attributes:
-        parts: Time that each part still takes, the newest last, by engine.
+        parts: Remaining time of each part in seconds, newest last, by engine.
     """
 
     def __init__(self) -> None:
@@ -45,69 +46,71 @@
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(SIMULATION_STEP_S)
             for parts in self.parts.values():
                 while parts and parts[-1][0] <= 0:
                     parts.pop()
                 if parts:
-                    parts[-1][0] -= STEP_S
+                    parts[-1][0] -= SIMULATION_STEP_S
 
-    async def read(self, engines: list[str], part_s: float) -> None:
-        """Returns once all engines have read their part."""
-        mine = [[part_s] for _ in engines]
-        for engine, part in zip(engines, mine, strict=True):
+    async def prefill(self, engines: list[str], part_s: float) -> None:
+        """Waits until all engines have prefilled their part."""
+        own_parts = [[part_s] for _ in engines]
+        for engine, part in zip(engines, own_parts, strict=True):
             self.parts.setdefault(engine, []).append(part)
-        while any(part[0] > 0 for part in mine):
-            await asyncio.sleep(STEP_S)
+        while any(part[0] > 0 for part in own_parts):
+            await asyncio.sleep(SIMULATION_STEP_S)
 
 
-async def serve(selector: EndpointSelector, engines: NewestFirst, tokens: int):
-    """Returns the time to the first token of one prompt, in seconds."""
+async def serve(
+    selector: EndpointSelector, engines: NewestFirstEngines, tokens: int
+):
+    """Returns the time to first token of one prompt, in seconds."""
     job = make_job(tokens)
     started_at = monotonic_s()
     placement = await wait_for_placement(selector, job)
     if placement is None:
-        return LONGEST_S
+        return TIMEOUT_S
     selector.start(job, placement)
     item = placement.item
     try:
-        async with asyncio.timeout(LONGEST_S):
-            await engines.read(
+        async with asyncio.timeout(TIMEOUT_S):
+            await engines.prefill(
                 [item.endpoint, *item.helpers], item.read_ms / 1000
             )
     except TimeoutError:
-        return LONGEST_S
+        return TIMEOUT_S
     finally:
         selector.end(placement)
     return monotonic_s() - started_at
 
 
-async def wave() -> list[float]:
-    """Returns the times to the first tokens of a wave of prompts."""
-    selector, engines = open_selector(ENGINES), NewestFirst()
-    running = asyncio.create_task(engines.run())
+async def run_burst() -> list[float]:
+    """Returns the times to first token of a burst of prompts, in seconds."""
+    selector, engines = open_selector(ENGINES), NewestFirstEngines()
+    engine_task = asyncio.create_task(engines.run())
     rng = random.Random(3)
     tasks = []
-    for _ in range(JOBS):
+    for _ in range(REQUESTS):
         tokens = rng.randint(120_000, 250_000)
         tasks.append(asyncio.create_task(serve(selector, engines, tokens)))
-        await asyncio.sleep(ARRIVAL_S)
+        await asyncio.sleep(ARRIVAL_INTERVAL_S)
     times = await asyncio.gather(*tasks)
-    running.cancel()
+    engine_task.cancel()
     return times
 
 
-class WaveTest(unittest.TestCase):
-    def test_reads_that_hold_up_only_what_stays_in_time(self):
-        times = run_virtual(wave)
+class BurstTest(unittest.TestCase):
+    def test_avoiding_delay_of_joint_prefills_keeps_all_on_time(self):
+        times = run_virtual(run_burst)
         with mock.patch.object(EndpointLoad, "joint_prefills", lambda *_: {}):
-            shared = run_virtual(wave)
-        self.assertEqual(_late(times), 0)
-        self.assertGreater(_late(shared), 0)
-        self.assertLess(sum(times), sum(shared))
+            ignoring_joint_prefills = run_virtual(run_burst)
+        self.assertEqual(_count_late(times), 0)
+        self.assertGreater(_count_late(ignoring_joint_prefills), 0)
+        self.assertLess(sum(times), sum(ignoring_joint_prefills))
 
 
-def _late(times: list[float]) -> int:
+def _count_late(times: list[float]) -> int:
     return sum(time > TARGET_S for time in times)
 
 
--- a/tests/routing/test_load_observer.py
+++ b/tests/routing/test_load_observer.py
@@ -1,4 +1,4 @@
-"""Observers of engines in a large fleet."""
+"""Tests of load observation in a large fleet."""
 
 from __future__ import annotations
 
@@ -25,65 +25,73 @@
 DAEMONS = 100
 
 
-class CountedCalls:
-    """Answers for all engines and counts the calls that run at one time."""
+class CountingCalls:
+    """Answers load requests for all engines and counts concurrent calls."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
-        self.running = self.most = 0
+        self.requested_ids: list[str] = []
+        self.in_flight = self.max_in_flight = 0
 
     async def report(self, endpoint):
-        self.asked.append(endpoint.id)
-        self.running += 1
-        self.most = max(self.most, self.running)
+        self.requested_ids.append(endpoint.id)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await asyncio.sleep(0.002)
-        self.running -= 1
+        self.in_flight -= 1
         return LoadReport(requests=0, memory_tokens=0, slowdown=1.0)
 
 
-def installation() -> Installation:
-    known = Installation()
+def make_installation() -> Installation:
+    installation = Installation()
     service = Service(name="engines", engine=EngineModel(slots=6))
-    known.adopt_config(InstallationConfig(version=1, services=[service]), "t")
+    installation.adopt_config(
+        InstallationConfig(version=1, services=[service]), "t"
+    )
     entries = [
         EndpointEntry(id=f"engine-{n}", service_name="engines", ready=True)
         for n in range(ENGINES)
     ]
-    known.adopt_endpoints(EndpointList(revision=1, endpoints=entries), "t")
-    return known
+    installation.adopt_endpoints(
+        EndpointList(revision=1, endpoints=entries), "t"
+    )
+    return installation
 
 
 class ObserverTest(unittest.TestCase):
-    def observe(self, name, peers, seconds) -> CountedCalls:
+    def observe(self, name, peers, seconds) -> CountingCalls:
         async def run():
-            calls = CountedCalls()
+            calls = CountingCalls()
             observer = LoadObserver(
-                installation=installation(),
+                installation=make_installation(),
                 load=FleetLoad(),
                 calls=calls,
                 instance=name,
                 live_instances=lambda: peers,
                 publish=lambda reports: None,
             )
-            running = asyncio.create_task(observer.run())
+            observer_task = asyncio.create_task(observer.run())
             await asyncio.sleep(seconds)
-            running.cancel()
+            observer_task.cancel()
             return calls
 
         return run_virtual(run)
 
-    def test_daemon_that_believes_to_be_alone_asks_few_at_a_time(self):
+    def test_daemon_without_peers_bounds_concurrent_reports(self):
         calls = self.observe("entry-0", [], 10)
-        self.assertLessEqual(calls.most, MAX_CONCURRENT_REPORTS)
+        self.assertLessEqual(calls.max_in_flight, MAX_CONCURRENT_REPORTS)
 
-    def test_each_engine_has_one_observer(self):
+    def test_each_engine_is_observed_by_one_daemon(self):
         names = [f"entry-{n}" for n in range(DAEMONS)]
-        asked = []
+        requested_ids = []
         for name in names[:20]:
-            others = [other for other in names if other != name]
-            asked.append(set(self.observe(name, others, 3).asked))
-        self.assertEqual(len(set().union(*asked)), sum(map(len, asked)))
-        self.assertLess(max(map(len, asked)), 60)
+            peers = [other for other in names if other != name]
+            requested_ids.append(
+                set(self.observe(name, peers, 3).requested_ids)
+            )
+        self.assertEqual(
+            len(set().union(*requested_ids)), sum(map(len, requested_ids))
+        )
+        self.assertLess(max(map(len, requested_ids)), 60)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -1,9 +1,10 @@
-"""Searches all ways in which two daemons may reserve memory at two engines.
+"""Model search over memory reservations of two daemons on two engines.
 
-Each engine has memory for one of two prompts that need a part at both. Calls
-and their answers may be lost or late, and a daemon may die at any moment. A
-prompt is sent only when both engines hold its memory; and memory is free again
-in time once its daemon has ended the request or died, whatever was lost.
+Each engine has memory for one of two prompts that need a part on both engines.
+Calls and their replies may be lost or late, and a daemon may crash at any time.
+A prompt may be sent only while both engines hold its memory. Memory must be
+free again in time after its daemon has ended the request or crashed, whichever
+messages were lost.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 )
 from tests.model_search import InvariantViolationError, explore_states
 
-TICK_S = 0.6  # in which a call arrives or is lost
-FREE_S = 4.0  # after which unused memory must be free
+TICK_S = 0.6  # a call arrives or is lost within a tick
+FREE_S = 4.0  # unused memory must be free after this time
 DAEMONS = (0, 1)
 ENGINES = (0, 1)
 NOBODY = -1
 
-IDLE, ASKING, SENDING, RUNNING = "idle", "asking", "sending", "running"
+IDLE, RESERVING, SENDING, RUNNING = "idle", "reserving", "sending", "running"
 ENDED, DEAD = "ended", "dead"
 RESERVE, RELEASE = "reserve", "release"
 
 
 class Call(NamedTuple):
-    """A call that is under way."""
+    """A call in transit."""
 
     kind: str
     daemon: int
@@ -39,7 +40,14 @@
 
 
 class Requester(NamedTuple):
-    """A daemon and its prompt."""
+    """A daemon and the state of its request.
+
+    Attributes:
+        phase: Phase of the request.
+        granted: Reply of each engine, None while there is none.
+        since_renewed: Ticks since the last renewal.
+        since_end: Ticks since the request ended or the daemon crashed.
+    """
 
     phase: str = IDLE
     granted: tuple[bool | None, bool | None] = (None, None)
@@ -48,14 +56,19 @@
 
 
 class Engine(NamedTuple):
-    """Who holds an engine's memory, and for how many ticks more."""
+    """The reservation of an engine's memory.
+
+    Attributes:
+        holder: Daemon that holds the memory, NOBODY if it is free.
+        lease_ticks: Ticks until the reservation expires.
+    """
 
     holder: int = NOBODY
-    left: int = 0
+    lease_ticks: int = 0
 
 
 class Model(NamedTuple):
-    """The state of everything."""
+    """A state of the model."""
 
     requesters: tuple[Requester, ...] = (Requester(), Requester())
     engines: tuple[Engine, ...] = (Engine(), Engine())
@@ -63,20 +76,21 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Rule:
-    """The rule, whole or with a part taken out.
+class Protocol:
+    """The reservation protocol, complete or with one rule broken.
 
     Attributes:
-        hold: Ticks after which an engine frees memory that is not renewed.
-        renew: Ticks between two renewals.
-        free: Ticks after which unused memory must be free.
-        needs_all: A prompt is sent only if all engines have granted it.
-        stops_renewing: Renewals end with the request.
+        lease_ticks: Ticks after which an engine frees memory that is not
+            renewed.
+        renewal_ticks: Ticks between two renewals.
+        max_free_ticks: Ticks after which unused memory must be free.
+        needs_all: Whether a prompt is sent only after all engines granted it.
+        stops_renewing: Whether renewals stop when the request ends.
     """
 
-    hold: int = int(RESERVATION_LEASE_MS / 1000 / TICK_S)
-    renew: int = max(1, int(RENEW_INTERVAL_S / TICK_S))
-    free: int = int(FREE_S / TICK_S)
+    lease_ticks: int = int(RESERVATION_LEASE_MS / 1000 / TICK_S)
+    renewal_ticks: int = max(1, int(RENEW_INTERVAL_S / TICK_S))
+    max_free_ticks: int = int(FREE_S / TICK_S)
     needs_all: bool = True
     stops_renewing: bool = True
 
@@ -85,15 +99,15 @@
 
     def next_states(self, state: Model):
         for call in state.calls:
-            rest = state._replace(calls=state.calls - {call})
-            yield from self._deliver(rest, call)
+            undelivered = state._replace(calls=state.calls - {call})
+            yield from self._deliver(undelivered, call)
         for number in DAEMONS:
-            yield from self._act(state, number)
+            yield from self._act_daemon(state, number)
         if not state.calls and not any(map(_must_act, state.requesters)):
             yield self._tick(state)
 
     def _deliver(self, state: Model, call: Call):
-        yield self._answered(state, call, granted=False)  # it is lost
+        yield self._apply_reply(state, call, granted=False)  # the call is lost
         engine = state.engines[call.engine]
         if call.kind == RELEASE:
             if engine.holder == call.daemon:
@@ -101,30 +115,30 @@
             return
         if engine.holder not in (NOBODY, call.daemon):
             return
-        held = Engine(call.daemon, self.hold)
+        held = Engine(call.daemon, self.lease_ticks)
         after = _with_engine(state, call.engine, held)
-        yield self._answered(after, call, granted=True)
-        yield self._answered(after, call, granted=False)  # the answer is lost
+        yield self._apply_reply(after, call, granted=True)
+        yield self._apply_reply(after, call, granted=False)  # the reply is lost
 
-    def _answered(self, state: Model, call: Call, *, granted: bool) -> Model:
+    def _apply_reply(self, state: Model, call: Call, *, granted: bool) -> Model:
         requester = state.requesters[call.daemon]
-        if call.kind == RELEASE or requester.phase != ASKING:
+        if call.kind == RELEASE or requester.phase != RESERVING:
             return state
-        answers = [*requester.granted]
-        answers[call.engine] = granted
-        after = requester._replace(granted=tuple(answers))
+        granted_by_engine = [*requester.granted]
+        granted_by_engine[call.engine] = granted
+        after = requester._replace(granted=tuple(granted_by_engine))
         return _with_requester(state, call.daemon, after)
 
-    def _act(self, state: Model, number: int):
+    def _act_daemon(self, state: Model, number: int):
         requester = state.requesters[number]
         match requester.phase:
             case "idle":
-                asking = requester._replace(phase=ASKING)
-                after = _with_requester(state, number, asking)
-                yield _calling(after, RESERVE, number)
-            case "asking" if None not in requester.granted:
-                enough = all if self.needs_all else any
-                if enough(requester.granted):
+                reserving = requester._replace(phase=RESERVING)
+                after = _with_requester(state, number, reserving)
+                yield _with_calls(after, RESERVE, number)
+            case "reserving" if None not in requester.granted:
+                is_sufficient = all if self.needs_all else any
+                if is_sufficient(requester.granted):
                     sending = requester._replace(phase=SENDING)
                     yield _with_requester(state, number, sending)
                 else:
@@ -133,11 +147,11 @@
                 running = requester._replace(phase=RUNNING)
                 yield _with_requester(state, number, running)
             case "running":
-                if requester.since_renewed >= self.renew:
+                if requester.since_renewed >= self.renewal_ticks:
                     yield self._renew(state, number)
                 yield self._end(state, number)
             case "ended" if not self.stops_renewing:
-                if requester.since_renewed >= self.renew:
+                if requester.since_renewed >= self.renewal_ticks:
                     yield self._renew(state, number)
         if requester.phase not in (IDLE, ENDED, DEAD):
             dead = Requester(phase=DEAD)
@@ -146,25 +160,27 @@
     def _end(self, state: Model, number: int) -> Model:
         ended = Requester(phase=ENDED)
         after = _with_requester(state, number, ended)
-        return _calling(after, RELEASE, number)
+        return _with_calls(after, RELEASE, number)
 
     def _renew(self, state: Model, number: int) -> Model:
         renewed = state.requesters[number]._replace(since_renewed=0)
         after = _with_requester(state, number, renewed)
-        return _calling(after, RESERVE, number)
+        return _with_calls(after, RESERVE, number)
 
     def _tick(self, state: Model) -> Model:
         engines = [
-            Engine() if e.left <= 1 else e._replace(left=e.left - 1)
+            Engine()
+            if e.lease_ticks <= 1
+            else e._replace(lease_ticks=e.lease_ticks - 1)
             for e in state.engines
         ]
         requesters = []
         for r in state.requesters:
             if r.phase in (ENDED, DEAD):
-                age = min(r.since_end + 1, self.free + 1)
-                r = r._replace(since_end=age)
-            since = min(r.since_renewed + 1, self.renew)
-            requesters.append(r._replace(since_renewed=since))
+                since_end = min(r.since_end + 1, self.max_free_ticks + 1)
+                r = r._replace(since_end=since_end)
+            since_renewed = min(r.since_renewed + 1, self.renewal_ticks)
+            requesters.append(r._replace(since_renewed=since_renewed))
         return state._replace(
             engines=tuple(engines), requesters=tuple(requesters)
         )
@@ -174,20 +190,21 @@
             holds = [e.holder == number for e in state.engines]
             if requester.phase == SENDING and not all(holds):
                 raise InvariantViolationError(
-                    "a prompt was sent without its memory"
+                    "prompt sent without a reservation on all engines"
                 )
-            if requester.since_end > self.free and any(holds):
-                raise InvariantViolationError("memory is not free in time")
+            if requester.since_end > self.max_free_ticks and any(holds):
+                raise InvariantViolationError("memory was not released in time")
 
 
 def _must_act(requester: Requester) -> bool:
-    """Whether a daemon that does not stand still acts within this tick.
+    """Returns whether a daemon that is not stalled acts within this tick.
 
-    One that stands still sends without its memory, which the engine refuses.
+    A stalled daemon may send a prompt without its reservation, which the engine
+    refuses.
     """
-    answered = None not in requester.granted
+    has_all_replies = None not in requester.granted
     return requester.phase == SENDING or (
-        requester.phase == ASKING and answered
+        requester.phase == RESERVING and has_all_replies
     )
 
 
@@ -203,30 +220,30 @@
     return state._replace(requesters=tuple(requesters))
 
 
-def _calling(state: Model, kind: str, number: int) -> Model:
+def _with_calls(state: Model, kind: str, number: int) -> Model:
     calls = {Call(kind, number, engine) for engine in ENGINES}
     return state._replace(calls=state.calls | calls)
 
 
 class MemoryModelTest(unittest.TestCase):
-    def test_a_call_takes_less_than_a_tick(self):
+    def test_call_timeout_is_at_most_one_tick(self):
         self.assertLessEqual(CONNECT_TIMEOUT_S, TICK_S)
 
-    def test_whole_rule(self):
-        self.assertGreater(Rule().explore_states(), 1_000)
+    def test_complete_protocol_holds_invariants(self):
+        self.assertGreater(Protocol().explore_states(), 1_000)
 
-    def refuted(self, **broken) -> None:
+    def assert_violation(self, **changes) -> None:
         with self.assertRaises(InvariantViolationError):
-            replace(Rule(), **broken).explore_states()
+            replace(Protocol(), **changes).explore_states()
 
-    def test_some_engines_are_enough(self):
-        self.refuted(needs_all=False)
+    def test_sending_with_partial_grants_violates_invariant(self):
+        self.assert_violation(needs_all=False)
 
-    def test_engines_hold_longer(self):
-        self.refuted(hold=Rule().free + 2)
+    def test_longer_lease_violates_invariant(self):
+        self.assert_violation(lease_ticks=Protocol().max_free_ticks + 2)
 
-    def test_renewals_go_on(self):
-        self.refuted(stops_renewing=False)
+    def test_renewing_after_end_violates_invariant(self):
+        self.assert_violation(stops_renewing=False)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_placement_wait.py
+++ b/tests/routing/test_placement_wait.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room, and those that no room can help."""
+"""Tests of requests that wait for capacity and of infeasible requests."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class OpenEndpoints:
-    """An installation with one service, whose endpoints are all open."""
+    """An installation with one service whose endpoints are all open."""
 
     def __init__(self, count: int) -> None:
         self.endpoints_revision = 1
-        self.known = [
+        self.endpoint_list = [
             KnownEndpoint(
                 entry=EndpointEntry(
                     id=f"engine-{n}", service_name="engines", slots=8
@@ -35,17 +35,19 @@
             )
             for n in range(count)
         ]
-        self.endpoints = {known.entry.id: known for known in self.known}
+        self.endpoints = {
+            endpoint.entry.id: endpoint for endpoint in self.endpoint_list
+        }
 
     def endpoints_of(self, service):
-        return self.known
+        return self.endpoint_list
 
-    def is_open(self, known):
+    def is_open(self, endpoint):
         return True
 
 
-class AnyRate:
-    """Sends to cold endpoints are not limited."""
+class UnlimitedRate:
+    """A rate limiter that allows all requests."""
 
     def allows(self, service, endpoint):
         return True
@@ -63,7 +65,7 @@
         cells=Cells(installation=installation, instance=instance),
         load=FleetLoad(),
         health=EndpointHealth(),
-        rates=AnyRate(),
+        rates=UnlimitedRate(),
         on_change=lambda items, ended: None,
         group=lambda: "",
         rng=random.Random(5),
@@ -88,49 +90,49 @@
     )
 
 
-class SameMomentTest(unittest.TestCase):
-    """Daemons of a group place prompts before they hear of each other."""
+class ConcurrentPlacementTest(unittest.TestCase):
+    """Daemons of a group place prompts before they exchange their work."""
 
-    def writers(self, tokens: int) -> set[str]:
+    def decode_engines(self, tokens: int) -> set[str]:
         async def run():
-            chosen = set()
+            decode_engines = set()
             for number in range(12):
                 selector = open_selector(20, f"entry-{number}")
                 placement = selector.select(make_job(tokens))
-                chosen.add(placement.endpoint.entry.id)
-            return chosen
+                decode_engines.add(placement.endpoint.entry.id)
+            return decode_engines
 
         return run_virtual(run)
 
     def test_long_prompts_go_to_different_engines(self):
-        self.assertGreater(len(self.writers(250_000)), 6)
+        self.assertGreater(len(self.decode_engines(250_000)), 6)
 
     def test_short_prompts_are_packed(self):
-        self.assertEqual(len(self.writers(5_000)), 1)
+        self.assertEqual(len(self.decode_engines(5_000)), 1)
 
 
 class WaitTest(unittest.TestCase):
     def wait(self, engines, tokens, *, excluded=(), full=False, time_left_s=15):
-        """Returns a placement, or None, and the time that it took."""
+        """Returns the placement or None, and the time waited in seconds."""
 
         async def run():
             selector = open_selector(engines)
             if full:
-                for known in selector.installation.known:
+                for endpoint in selector.installation.endpoint_list:
                     report = EngineReport(unknown_tokens=MODEL.memory_tokens)
-                    selector.load.by_endpoint[known.entry.id].apply_report(
+                    selector.load.by_endpoint[endpoint.entry.id].apply_report(
                         report
                     )
             job = make_job(tokens)
             job.excluded.update(excluded)
             job.deadline_at = monotonic_s() + time_left_s
-            started = monotonic_s()
+            started_at = monotonic_s()
             placement = await wait_for_placement(selector, job)
-            return placement, monotonic_s() - started
+            return placement, monotonic_s() - started_at
 
         return run_virtual(run)
 
-    def test_prompt_over_one_memory_is_placed_on_several(self):
+    def test_prompt_larger_than_one_engine_uses_several(self):
         placement, _ = self.wait(3, 600_000)
         self.assertEqual(len(placement.holders()), 1)
 
@@ -139,13 +141,13 @@
         self.assertTrue(placement.late)
         self.assertLess(took_s + placement.first_token_s, 15)
 
-    def test_prompt_over_all_memory_is_refused_at_once(self):
+    def test_prompt_larger_than_all_engines_is_refused_immediately(self):
         for engines, tokens in ((2, 700_000), (60, 2_000_000), (0, 100)):
             placement, took_s = self.wait(engines, tokens)
             self.assertIsNone(placement)
             self.assertEqual(took_s, 0)
 
-    def test_prompt_that_cannot_be_read_in_the_time_left_is_refused_at_once(
+    def test_prompt_with_too_long_prefill_is_refused_immediately(
         self,
     ):
         placement, took_s = self.wait(13, 300_000, time_left_s=0.5)
@@ -154,12 +156,12 @@
         placement, _ = self.wait(13, 300_000, time_left_s=3)
         self.assertIsNotNone(placement)
 
-    def test_endpoints_that_failed_it_do_not_count(self):
+    def test_excluded_endpoints_do_not_count_as_usable(self):
         placement, took_s = self.wait(2, 600_000, excluded={"engine-0"})
         self.assertIsNone(placement)
         self.assertEqual(took_s, 0)
 
-    def test_full_engines_are_waited_for_a_short_time(self):
+    def test_wait_for_full_engines_is_short(self):
         placement, took_s = self.wait(2, 1_000, full=True)
         self.assertIsNone(placement)
         self.assertGreater(took_s, 0)
--- a/tests/routing/test_placer.py
+++ b/tests/routing/test_placer.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of the endpoint by hints and owners' answers."""
+"""Tests of endpoint placement by hints and the replies of owners."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 HINT_AGE_S = 0.5
 
 
-def hint(name, wait_s):
+def make_hint(name, wait_s):
     return EndpointHint(
         endpoint=name,
         phase=EndpointPhase.WARM,
@@ -39,31 +39,33 @@
     )
 
 
-class Owners:
-    """Owners whose true waits differ from the hints that were spread."""
+class StubOwners:
+    """Owners whose actual waits may differ from the published hints."""
 
-    def __init__(self, promised, true):
-        self.true = true
-        self.asked = []
+    def __init__(self, hinted_waits_s, actual_waits_s):
+        self.actual_waits_s = actual_waits_s
+        self.requested = []
         self.hints = HintCache()
-        for name, wait_s in promised.items():
-            self.hints.update(hint(name, wait_s))
-        self.state = SimpleNamespace(endpoints_of=lambda _: sorted(promised))
+        for name, wait_s in hinted_waits_s.items():
+            self.hints.update(make_hint(name, wait_s))
+        self.state = SimpleNamespace(
+            endpoints_of=lambda _: sorted(hinted_waits_s)
+        )
         self.view = SimpleNamespace(roster=SimpleNamespace(epoch=1))
         self.is_unschedulable = lambda _: False
         self.owns = lambda _: False
         self.latest_hint = self.hints.newest
 
     async def reserve(self, request):
-        self.asked.append(request.endpoint)
-        wait_s = self.true[request.endpoint]
+        self.requested.append(request.endpoint)
+        wait_s = self.actual_waits_s[request.endpoint]
         late = wait_s > request.time_left_s
         if late or 0 < request.max_start_wait_s < wait_s:
-            answer = hint(request.endpoint, wait_s)
-            self.hints.update(answer)
+            fresh_hint = make_hint(request.endpoint, wait_s)
+            self.hints.update(fresh_hint)
             return ReserveReply(
                 code=ResultCode.QUEUE_FULL,
-                hints=[answer],
+                hints=[fresh_hint],
                 retry_after_s=wait_s - request.time_left_s if late else 1.0,
             )
         return HeldReservation(
@@ -75,9 +77,11 @@
         )
 
 
-def place(promised, true, *, length=LengthClass.SHORT, deadline_s=10.0):
+def place(
+    hinted_waits_s, actual_waits_s, *, length=LengthClass.SHORT, deadline_s=10.0
+):
     async def scenario():
-        owners = Owners(promised, true)
+        owners = StubOwners(hinted_waits_s, actual_waits_s)
         placer = Placer(
             endpoint_manager=owners,
             reservations=owners,
@@ -100,40 +104,44 @@
         await asyncio.sleep(HINT_AGE_S)
         started_at = monotonic_s()
         outcome = await placer.place(request, set())
-        return outcome, owners.asked, monotonic_s() - started_at
+        return outcome, owners.requested, monotonic_s() - started_at
 
     return run_virtual(scenario)
 
 
 class OwnerPolicyTest(unittest.TestCase):
-    def test_true_promise_takes_one_call(self):
-        waits = {"a": 1.0, "b": 0.1, "c": 2.0}
-        outcome, asked, _ = place(waits, waits)
+    def test_accurate_hint_takes_one_call(self):
+        waits_s = {"a": 1.0, "b": 0.1, "c": 2.0}
+        outcome, requested, _ = place(waits_s, waits_s)
         self.assertEqual(outcome.endpoint, "b")
-        self.assertEqual(asked, ["b"])
+        self.assertEqual(requested, ["b"])
 
-    def test_stale_promise_costs_one_call_and_no_time(self):
-        promised = {"a": 0.0, "b": 0.7, "c": 2.0}
-        outcome, asked, took_s = place(
-            promised, promised | {"a": 5.0, "b": 0.2}
+    def test_stale_hint_costs_one_call_and_no_time(self):
+        hinted_waits_s = {"a": 0.0, "b": 0.7, "c": 2.0}
+        outcome, requested, took_s = place(
+            hinted_waits_s, hinted_waits_s | {"a": 5.0, "b": 0.2}
         )
         self.assertEqual(outcome.endpoint, "b")
-        self.assertEqual(asked, ["a", "b"])
+        self.assertEqual(requested, ["a", "b"])
         self.assertEqual(took_s, 0)
 
-    def test_best_of_those_heard_of_when_all_promises_are_stale(self):
+    def test_best_fresh_hint_is_used_when_all_hints_were_stale(self):
         names = "abcdefgh"
-        true = {name: 3.0 - number / 10 for number, name in enumerate(names)}
-        outcome, asked, _ = place(dict.fromkeys(names, 0.0), true)
-        best = min(asked[:-1], key=true.__getitem__)
+        actual_waits_s = {
+            name: 3.0 - number / 10 for number, name in enumerate(names)
+        }
+        outcome, requested, _ = place(dict.fromkeys(names, 0.0), actual_waits_s)
+        best = min(requested[:-1], key=actual_waits_s.__getitem__)
         self.assertEqual(outcome.endpoint, best)
 
-    def test_refused_at_once_if_nothing_starts_in_time(self):
-        waits = {"a": 40.0, "b": 30.0}
-        outcome, asked, took_s = place(waits, waits, length=LengthClass.LONG)
+    def test_refused_immediately_if_no_endpoint_starts_in_time(self):
+        waits_s = {"a": 40.0, "b": 30.0}
+        outcome, requested, took_s = place(
+            waits_s, waits_s, length=LengthClass.LONG
+        )
         self.assertIsInstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.QUEUE_FULL)
         self.assertEqual(outcome.ran, Ran.NO)
         self.assertGreaterEqual(outcome.retry_after_s, 20)
-        self.assertLessEqual(len(asked), MAX_LONG_PROBES)
+        self.assertLessEqual(len(requested), MAX_LONG_PROBES)
         self.assertEqual(took_s, 0)
--- a/tests/routing/test_prefill_planner.py
+++ b/tests/routing/test_prefill_planner.py
@@ -1,4 +1,4 @@
-"""Placement of prompts on engines, under loads that each test names."""
+"""Tests of prompt placement on engines under various loads."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     read_tokens_per_s=177_000.0,
     read_per_megapair_ms=0.184,
 )
-SHORT = PromptRequirements(
+SHORT_PROMPT = PromptRequirements(
     tokens=5_000, answer_tokens=1_700, target_ms=300, target_gap_ms=250
 )
-BRIEF = PromptRequirements(
+MEDIUM_PROMPT = PromptRequirements(
     tokens=45_000, answer_tokens=1_000, target_ms=1_500, target_gap_ms=600
 )
-REVIEW = PromptRequirements(
+LONG_PROMPT = PromptRequirements(
     tokens=154_000, answer_tokens=800, target_ms=3_000, target_gap_ms=1_000
 )
 
 
-class Pool:
-    """Engines with a ledger, to which requests are placed one by one."""
+class EnginePool:
+    """A set of engines whose load accounts for all placed requests."""
 
     def __init__(self, engines: int) -> None:
         self.load = FleetLoad()
@@ -49,16 +49,20 @@
 
     def choose(self, prompt: PromptRequirements):
         now = asyncio.get_running_loop().time()
-        pairs = [(e, self.load.by_endpoint[e.entry.id]) for e in self.engines]
+        candidates = [
+            (e, self.load.by_endpoint[e.entry.id]) for e in self.engines
+        ]
         copy = PromptRequirements(
             **{k: getattr(prompt, k) for k in prompt.__slots__}
         )
-        return plan_prefill(MODEL, copy, pairs, now)
+        return plan_prefill(MODEL, copy, candidates, now)
 
-    def place(self, prompt: PromptRequirements, *, patient: bool = False):
+    def place(
+        self, prompt: PromptRequirements, *, avoid_interference: bool = False
+    ):
         plan = self.choose(prompt)
-        if plan is None or (patient and plan.interference_cost > 0):
-            return None  # it waits
+        if plan is None or (avoid_interference and plan.interference_cost > 0):
+            return None  # the request waits
         self.placed += 1
         item = WorkItem(
             id=self.placed,
@@ -75,7 +79,7 @@
         self.load.add("daemon", item)
         return plan
 
-    def writers(self) -> list[int]:
+    def decode_counts(self) -> list[int]:
         return [
             self.load.by_endpoint[e.entry.id].decode_count for e in self.engines
         ]
@@ -83,13 +87,13 @@
 
 class PlacementTest(unittest.TestCase):
     @in_virtual_loop
-    def test_idle_pool_reads_a_short_prompt_alone(self):
-        plan = Pool(4).choose(SHORT)
+    def test_idle_pool_prefills_short_prompt_on_one_engine(self):
+        plan = EnginePool(4).choose(SHORT_PROMPT)
         self.assertEqual(plan.helpers, [])
-        self.assertLess(plan.first_token_ms, SHORT.target_ms)
+        self.assertLess(plan.first_token_ms, SHORT_PROMPT.target_ms)
 
     @in_virtual_loop
-    def test_long_prompt_is_read_jointly_within_its_target(self):
+    def test_long_prompt_is_prefilled_jointly_within_target(self):
         alone_ms = engine_latency.prefill_ms(MODEL, 300_000)
         self.assertGreater(alone_ms, 3_000)
         prompt = PromptRequirements(
@@ -98,19 +102,19 @@
             target_ms=3_000,
             target_gap_ms=1_000,
         )
-        plan = Pool(21).choose(prompt)
+        plan = EnginePool(21).choose(prompt)
         self.assertGreaterEqual(len(plan.helpers), 3)
         self.assertLess(plan.first_token_ms, 3_000)
 
     @in_virtual_loop
-    def test_prompt_over_one_memory_has_holders(self):
+    def test_prompt_larger_than_one_engine_has_holders(self):
         prompt = PromptRequirements(
             tokens=700_000,
             answer_tokens=800,
             target_ms=3_000,
             target_gap_ms=1_000,
         )
-        plan = Pool(21).choose(prompt)
+        plan = EnginePool(21).choose(prompt)
         self.assertGreaterEqual(plan.holders, 2)
         self.assertGreaterEqual(len(plan.helpers), plan.holders)
         needed = 700_800
@@ -118,143 +122,145 @@
         self.assertLess(plan.memory_tokens, MODEL.memory_tokens)
 
     @in_virtual_loop
-    def test_prompt_over_the_memory_of_all_has_no_plan(self):
+    def test_prompt_larger_than_all_engines_has_no_plan(self):
         prompt = PromptRequirements(
             tokens=2_000_000,
             answer_tokens=1,
             target_ms=9_000,
             target_gap_ms=1_000,
         )
-        self.assertIsNone(Pool(3).choose(prompt))
+        self.assertIsNone(EnginePool(3).choose(prompt))
 
     @in_virtual_loop
-    def test_full_slots_have_no_plan(self):
-        pool = Pool(2)
+    def test_full_slots_give_no_plan(self):
+        pool = EnginePool(2)
         for _ in range(16):
-            self.assertIsNotNone(pool.place(SHORT))
-        self.assertIsNone(pool.place(SHORT))
-        self.assertEqual(pool.writers(), [8, 8])
+            self.assertIsNotNone(pool.place(SHORT_PROMPT))
+        self.assertIsNone(pool.place(SHORT_PROMPT))
+        self.assertEqual(pool.decode_counts(), [8, 8])
 
     @in_virtual_loop
-    def test_engine_that_refused_for_want_of_room_is_left_out(self):
-        pool = Pool(2)
+    def test_engine_that_refused_as_full_is_skipped(self):
+        pool = EnginePool(2)
         for _ in range(3):
             pool.load.by_endpoint["engine-0"].record_full()
             self.assertEqual(
-                pool.place(SHORT).decode_engine.entry.id, "engine-1"
+                pool.place(SHORT_PROMPT).decode_engine.entry.id, "engine-1"
             )
 
     @in_virtual_loop
     def test_engine_with_unknown_work_counts_as_busy(self):
-        """Daemons lost power, and their requests still run."""
-        pool = Pool(2)
+        """Engines still run the requests of daemons that lost power."""
+        pool = EnginePool(2)
         report = EngineReport(endpoint="engine-0", unknown_requests=8)
         pool.load.by_endpoint["engine-0"].apply_report(report)
         for _ in range(8):
             self.assertEqual(
-                pool.place(SHORT).decode_engine.entry.id, "engine-1"
+                pool.place(SHORT_PROMPT).decode_engine.entry.id, "engine-1"
             )
-        self.assertIsNone(pool.place(SHORT))
+        self.assertIsNone(pool.place(SHORT_PROMPT))
 
     @in_virtual_loop
-    def test_slow_engine_gets_nothing_while_others_are_idle(self):
-        pool = Pool(3)
+    def test_slow_engine_is_avoided_while_others_are_idle(self):
+        pool = EnginePool(3)
         report = EngineReport(endpoint="engine-0", slowdown=4.0)
         pool.load.by_endpoint["engine-0"].apply_report(report)
         for _ in range(6):
             self.assertNotEqual(
-                pool.place(SHORT).decode_engine.entry.id, "engine-0"
+                pool.place(SHORT_PROMPT).decode_engine.entry.id, "engine-0"
             )
 
     @in_virtual_loop
-    def test_short_prompt_avoids_an_engine_with_a_long_read(self):
-        pool = Pool(2)
-        reading = pool.place(REVIEW).decode_engine.entry.id
+    def test_short_prompt_avoids_engine_with_long_prefill(self):
+        pool = EnginePool(2)
+        long_prefill_engine = pool.place(LONG_PROMPT).decode_engine.entry.id
         for _ in range(3):
-            plan = pool.place(SHORT)
-            self.assertNotEqual(plan.decode_engine.entry.id, reading)
+            plan = pool.place(SHORT_PROMPT)
+            self.assertNotEqual(
+                plan.decode_engine.entry.id, long_prefill_engine
+            )
 
     @in_virtual_loop
-    def test_long_read_avoids_engines_that_write_short_answers(self):
-        pool = Pool(8)
+    def test_long_prefill_avoids_engines_decoding_short_answers(self):
+        pool = EnginePool(8)
         for _ in range(12):
-            pool.place(SHORT)
-        busy = {
+            pool.place(SHORT_PROMPT)
+        busy_engines = {
             engine.entry.id
-            for engine, writers in zip(
-                pool.engines, pool.writers(), strict=True
+            for engine, decode_count in zip(
+                pool.engines, pool.decode_counts(), strict=True
             )
-            if writers
+            if decode_count
         }
-        plan = pool.place(REVIEW)
-        used = {
+        plan = pool.place(LONG_PROMPT)
+        plan_engines = {
             plan.decode_engine.entry.id,
             *(h.entry.id for h in plan.helpers),
         }
-        self.assertFalse(used & busy)
+        self.assertFalse(plan_engines & busy_engines)
 
-    def test_short_answers_are_packed_so_that_engines_stay_free(self):
-        """Short prompts at a steady 33 a second, 28 answers at a time."""
+    def test_short_answers_are_packed_on_few_engines(self):
+        """Short prompts arrive at 33 per second, with 28 answers at a time."""
 
         async def run():
-            pool = Pool(21)
+            pool = EnginePool(21)
             for _ in range(28):
-                pool.place(SHORT)
+                pool.place(SHORT_PROMPT)
                 await asyncio.sleep(0.03)
-            self.assertGreaterEqual(pool.writers().count(0), 14)
+            self.assertGreaterEqual(pool.decode_counts().count(0), 14)
 
         run_virtual(run)
 
     @in_virtual_loop
-    def test_wave_of_reviews_leaves_short_prompts_in_time(self):
-        """Long reads in waves, 2.8 times their usual rate."""
-        pool = Pool(21)
+    def test_burst_of_long_prompts_keeps_short_prompts_on_time(self):
+        """Long prompts arrive in bursts at 2.8 times their usual rate."""
+        pool = EnginePool(21)
         for _ in range(14):
-            pool.place(SHORT)
+            pool.place(SHORT_PROMPT)
         for _ in range(6):
-            pool.place(REVIEW, patient=True)
+            pool.place(LONG_PROMPT, avoid_interference=True)
         for _ in range(6):
-            plan = pool.place(SHORT)
-            self.assertLess(plan.first_token_ms, SHORT.target_ms)
+            plan = pool.place(SHORT_PROMPT)
+            self.assertLess(plan.first_token_ms, SHORT_PROMPT.target_ms)
 
     @in_virtual_loop
-    def test_zone_lost_in_a_burst_still_has_room(self):
-        """A burst of short prompts while a third of the engines is gone."""
-        pool = Pool(14)
-        plans = [pool.place(SHORT) for _ in range(80)]
+    def test_burst_during_zone_loss_is_placed(self):
+        """A burst of short prompts arrives with a third of the engines lost."""
+        pool = EnginePool(14)
+        plans = [pool.place(SHORT_PROMPT) for _ in range(80)]
         self.assertNotIn(None, plans)
 
-    def test_better_than_fewest_pending_under_mixed_load(self):
-        """Short and long prompts, 20 a second, against fewest pending."""
+    def test_planner_beats_least_pending_under_mixed_load(self):
+        """Compares with least-pending placement at 20 prompts per second."""
 
         async def run():
-            by_model = await _share_in_time(by_model=True)
-            by_pending = await _share_in_time(by_model=False)
-            self.assertGreater(by_model, by_pending)
+            planner_share = await _on_time_share(use_planner=True)
+            least_pending_share = await _on_time_share(use_planner=False)
+            self.assertGreater(planner_share, least_pending_share)
 
         run_virtual(run)
 
 
-async def _share_in_time(*, by_model: bool) -> float:
-    """Returns the share of short prompts predicted to be in time."""
+async def _on_time_share(*, use_planner: bool) -> float:
+    """Returns the share of short prompts predicted to meet their target."""
     rng = random.Random(7)
-    pool = Pool(12)
-    in_time = shorts = 0
+    pool = EnginePool(12)
+    in_time = short_count = 0
     for _ in range(60):
         await asyncio.sleep(0.05)
-        prompt = SHORT if rng.random() < 0.85 else REVIEW
-        if by_model:
+        prompt = SHORT_PROMPT if rng.random() < 0.85 else LONG_PROMPT
+        if use_planner:
             plan = pool.place(prompt)
-            first_ms = plan.first_token_ms if plan else float("inf")
+            first_token_ms = plan.first_token_ms if plan else float("inf")
         else:
-            first_ms = _place_by_pending(pool, prompt)
-        if prompt is SHORT:
-            shorts += 1
-            in_time += first_ms <= SHORT.target_ms
-    return in_time / shorts
+            first_token_ms = _place_least_pending(pool, prompt)
+        if prompt is SHORT_PROMPT:
+            short_count += 1
+            in_time += first_token_ms <= SHORT_PROMPT.target_ms
+    return in_time / short_count
 
 
-def _place_by_pending(pool: Pool, prompt: PromptRequirements) -> float:
+def _place_least_pending(pool: EnginePool, prompt: PromptRequirements) -> float:
     def pending(engine: KnownEndpoint) -> int:
         return len(pool.load.by_endpoint[engine.entry.id].work_by_request)
 
@@ -263,7 +269,7 @@
     read_ms = engine_latency.prefill_ms(MODEL, prompt.tokens)
     pass_ms = engine_latency.pass_ms(MODEL, load.decode_count + 1)
     now = asyncio.get_running_loop().time()
-    first_ms = load.backlog_ms(now) + read_ms + pass_ms
+    first_token_ms = load.backlog_ms(now) + read_ms + pass_ms
     pool.placed += 1
     item = WorkItem(
         id=pool.placed,
@@ -274,7 +280,7 @@
         remaining_ms=60_000,
     )
     pool.load.add("daemon", item)
-    return first_ms
+    return first_token_ms
 
 
 if __name__ == "__main__":
