--- a/src/auburnswitch/routing/endpoint_selector.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -76,7 +76,7 @@
         zone: This daemon's availability zone.
         installation: The endpoints and services.
         load: Work of all daemons on each endpoint.
-        health: Endpoints that are suspected to have failed.
+        health: Tracks failures and suspected endpoints.
         rates: Limits the rate of requests to cold endpoints.
         group: Returns the group of daemons that prefer the same engines.
         cells: Endpoints that this daemon prefers in a large fleet.
@@ -292,11 +292,11 @@
     def _make_placement(
         self, plan: PrefillPlan, model: EngineModel, prompt: PromptRequirements
     ) -> Placement:
-        writers = (
+        decode_count = (
             self.load.by_endpoint[plan.decode_engine.entry.id].decode_count + 1
         )
         answer_ms = engine_latency.decode_ms(
-            model, prompt.answer_tokens, writers, prompt.tokens
+            model, prompt.answer_tokens, decode_count, prompt.tokens
         )
         remaining_ms = plan.first_token_ms + answer_ms
         item = self._make_item(
--- a/src/auburnswitch/routing/engine_candidate.py
+++ b/src/auburnswitch/routing/engine_candidate.py
@@ -37,7 +37,7 @@
     Attributes:
         tokens: Length of the prompt.
         answer_tokens: Expected length of the answer.
-        target_ms: Time left to the target latency of the first token.
+        target_ms: Time left until the target latency of the first token.
         target_gap_ms: Longest acceptable gap between events of the answer; 0
             selects the default.
     """
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -60,7 +60,7 @@
 
 
 def _should_defer(job: DeliveryJob, placement: Placement) -> bool:
-    """Returns whether the request yields to others without harm to itself."""
+    """Returns whether the request yields to others at no cost to itself."""
     if placement.first_token_s * DEADLINE_SAFETY_FACTOR > job.time_left_s():
         return False
     if placement.late:
--- a/src/auburnswitch/routing/placer.py
+++ b/src/auburnswitch/routing/placer.py
@@ -42,7 +42,7 @@
 COLD_RETRY_AFTER_S: Final = 5.0
 FRESH_HINT_MAX_AGE_S: Final = 0.05
 # Seconds of wait that may have built up per second of a hint's age.
-STALENESS_PENALTY_PER_S: Final = 0.2
+STALENESS_PENALTY_S_PER_S: Final = 0.2
 STALENESS_MAX_AGE_S: Final = 1.0
 UNKNOWN_PHASE_PENALTY_S: Final = 0.5
 FULL_PENALTY_S: Final = 1.0
@@ -304,10 +304,9 @@
             wait_s = hint.long_wait_s
         remaining_s = max(0.0, wait_s - age_s)
         if hint.long_wait_s - age_s > max(remaining_s, CHUNK_DELAY_S):
-            remaining_s = max(
-                remaining_s, CHUNK_DELAY_S
-            )  # delay until a long prompt is preempted
-        staleness_penalty_s = STALENESS_PENALTY_PER_S * min(
+            # A long prefill delays the request until it is preempted.
+            remaining_s = max(remaining_s, CHUNK_DELAY_S)
+        staleness_penalty_s = STALENESS_PENALTY_S_PER_S * min(
             age_s, STALENESS_MAX_AGE_S
         )
         return remaining_s + staleness_penalty_s + _penalty_s(request, hint)
--- a/src/auburnswitch/routing/prefill_planner.py
+++ b/src/auburnswitch/routing/prefill_planner.py
@@ -340,7 +340,7 @@
     """Returns the cost of the answers that parts on the engines delay."""
     cost = sum(engine.interference_cost(part_ms) for engine in engines)
     if len(engines) == 1:
-        return cost  # it is prefilled after all joint prefills
+        return cost  # a prompt on one engine runs after all joint prefills
     joint = {}
     for engine in engines:
         joint |= engine.joint_prefills
