--- a/src/auburnswitch/routing/endpoint_selector.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoints of a request and keeps account of its work."""
+"""Chooses the endpoints of a request and tracks its work on them."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     from auburnswitch.routing.send_rate_limiter import SendRateLimiter
     from auburnswitch.schema.installation import EngineModel
 
-PLAIN_REQUEST_MS: Final = 300.0  # until a plain request is expected to end
+PLAIN_REQUEST_MS: Final = 300.0  # expected duration of a plain request
 MAX_PLAIN_QUEUED: Final = 2  # requests beyond an endpoint's slots
 LONG_PROMPT_TOKENS: Final = 80_000  # from which memory is scarce
-FALLBACK_SAMPLE_SIZE: Final = 32  # endpoints of all cells
-REMAINING_TIME_FACTOR: Final = 1.5  # of the predicted time of a request
+FALLBACK_SAMPLE_SIZE: Final = 32  # endpoints sampled from all cells
+REMAINING_TIME_FACTOR: Final = 1.5  # of the predicted duration of a request
 _MS_PER_S: Final = 1000.0
 
 
@@ -48,12 +48,12 @@
     """Endpoints chosen for one attempt.
 
     Attributes:
-        endpoint: Endpoint that gets the request.
-        helpers: Endpoints that read parts of its prompt.
-        item: The work as peers hear of it.
-        first_token_s: Predicted time to the answer's start, in seconds.
-        late: The answer is predicted to start too late.
-        delays_others: It would make other answers late.
+        endpoint: Endpoint that receives the request.
+        helpers: Endpoints that prefill parts of the prompt.
+        item: The work as published to peers.
+        first_token_s: Predicted time to the first token, in seconds.
+        late: Whether the first token is predicted to miss its target latency.
+        delays_others: Whether the request would make other answers late.
     """
 
     endpoint: KnownEndpoint
@@ -64,20 +64,25 @@
     delays_others: bool = False
 
     def holders(self) -> list[KnownEndpoint]:
-        """Returns the helpers that hold a part of the prompt's memory."""
+        """Returns the helpers that hold a part of the prompt's KV cache."""
         return self.helpers[: self.item.holders]
 
 
 class EndpointSelector:
-    """Chooses endpoints by what all daemons have at them.
+    """Chooses endpoints by the work of all daemons on them.
 
     Attributes:
         instance: This daemon's instance.
         zone: This daemon's availability zone.
+        installation: The endpoints and services.
+        load: Work of all daemons on each endpoint.
+        health: Tracks failures and suspected endpoints.
+        rates: Limits the rate of requests to cold endpoints.
         group: Returns the group of daemons that prefer the same engines.
         cells: Endpoints that this daemon prefers in a large fleet.
-        on_change: Called with work that starts, and numbers of work that has
-            ended.
+        on_change: Called with the items that have started and the ids of the
+            items that have ended.
+        rng: Random generator for sampling and tie-breaks.
     """
 
     __slots__ = (
@@ -121,7 +126,7 @@
         self._next_id = 0
 
     def is_feasible(self, job: DeliveryJob) -> bool:
-        """Whether idle endpoints would have room and answer in time."""
+        """Returns whether idle endpoints could serve a request in time."""
         usable = self._count_usable(job)
         model, request = job.service.engine, job.request
         if model is None or not request.prompt_tokens:
@@ -130,48 +135,59 @@
         needed = engines_needed(model, tokens)
         if needed is None or usable < needed:
             return False
-        soonest_ms = min_prefill_ms(model, request.prompt_tokens, usable)
-        return soonest_ms <= job.time_left_s() * _MS_PER_S
+        prefill_ms = min_prefill_ms(model, request.prompt_tokens, usable)
+        return prefill_ms <= job.time_left_s() * _MS_PER_S
 
     def _count_usable(self, job: DeliveryJob) -> int:
-        """Counts the open endpoints, up to as many as ever serve together."""
+        """Counts usable endpoints, up to the most that one prefill can use."""
         usable = (
-            known
-            for known in self.installation.endpoints_of(job.service.name)
-            if self.installation.is_open(known)
-            and known.entry.id not in job.excluded
+            endpoint
+            for endpoint in self.installation.endpoints_of(job.service.name)
+            if self.installation.is_open(endpoint)
+            and endpoint.entry.id not in job.excluded
         )
         return sum(1 for _ in itertools.islice(usable, MAX_ENGINES))
 
     def select(self, job: DeliveryJob) -> Placement | None:
-        """Returns endpoints with room for a request, None if there are none.
+        """Chooses endpoints with capacity for a request.
 
-        In a large fleet those of this daemon's cell go first.
+        In a large fleet the endpoints of this daemon's cell take precedence.
+
+        Returns:
+            The placement, None if no endpoint has the capacity.
         """
         service = job.service.name
         if not self.cells.spans_cells(service):
-            return self._choose_of(job, self.installation.endpoints_of(service))
-        placement = self._choose_of(job, self.cells.cell_endpoints(service))
+            return self._choose_from(
+                job, self.installation.endpoints_of(service)
+            )
+        placement = self._choose_from(job, self.cells.cell_endpoints(service))
         if placement is not None and not (
             placement.late or placement.delays_others
         ):
             return placement
-        others = self.installation.endpoints_of(service)
-        some = self.rng.sample(others, min(len(others), FALLBACK_SAMPLE_SIZE))
-        return self._choose_of(job, some) or placement
+        all_endpoints = self.installation.endpoints_of(service)
+        sample = self.rng.sample(
+            all_endpoints, min(len(all_endpoints), FALLBACK_SAMPLE_SIZE)
+        )
+        return self._choose_from(job, sample) or placement
 
-    def _choose_of(
+    def _choose_from(
         self, job: DeliveryJob, candidates: Iterable[KnownEndpoint]
     ) -> Placement | None:
         usable = [
-            known
-            for known in candidates
-            if self.installation.is_open(known)
-            and known.entry.id not in job.excluded
-            and self.rates.allows(job.service, known.entry.id)
+            endpoint
+            for endpoint in candidates
+            if self.installation.is_open(endpoint)
+            and endpoint.entry.id not in job.excluded
+            and self.rates.allows(job.service, endpoint.entry.id)
+        ]
+        healthy = [
+            endpoint
+            for endpoint in usable
+            if not self.health.is_suspect(endpoint.entry.id)
         ]
-        sound = [k for k in usable if not self.health.is_suspect(k.entry.id)]
-        for candidates in (sound, usable):
+        for candidates in (healthy, usable):
             if job.service.engine is not None and job.request.prompt_tokens:
                 placement = self._choose_engines(
                     job, job.service.engine, candidates
@@ -183,7 +199,7 @@
         return None
 
     def start(self, job: DeliveryJob, placement: Placement) -> None:
-        """Counts the work of a placement and tells the peers."""
+        """Adds the work of a placement and publishes it to peers."""
         load = self.load.by_endpoint[placement.endpoint.entry.id]
         log_event(
             EventId.REQUEST_PLACED,
@@ -201,36 +217,40 @@
         self.load.add(self.instance, placement.item)
         self.on_change([placement.item], [])
 
-    def note_prefilled(self, placement: Placement) -> None:
-        """Notes that the prompt of a placement has been read."""
-        self.load.note_prefilled(self.instance, placement.item.id)
+    def record_prefilled(self, placement: Placement) -> None:
+        """Records that the prefill of a placement has finished."""
+        self.load.record_prefilled(self.instance, placement.item.id)
 
     def end(self, placement: Placement) -> None:
-        """Ends the work of a placement and tells the peers."""
+        """Removes the work of a placement and publishes its end to peers."""
         self.load.remove(self.instance, placement.item.id)
         self.on_change([], [placement.item.id])
 
     def find_by_address(self, address: str) -> str | None:
         """Returns the id of the endpoint at an address, None if unknown."""
-        for known in self.installation.endpoints.values():
-            if f"{known.entry.host}:{known.entry.port}" == address:
-                return known.entry.id
+        for endpoint in self.installation.endpoints.values():
+            if f"{endpoint.entry.host}:{endpoint.entry.port}" == address:
+                return endpoint.entry.id
         return None
 
     def _choose_plain(
         self, candidates: list[KnownEndpoint]
     ) -> Placement | None:
-        def rank(known: KnownEndpoint) -> tuple[float, bool, float]:
-            pending = len(self.load.by_endpoint[known.entry.id].work_by_request)
-            elsewhere = known.entry.zone != self.zone
-            return pending, elsewhere, self.rng.random()
+        def rank(endpoint: KnownEndpoint) -> tuple[float, bool, float]:
+            pending = len(
+                self.load.by_endpoint[endpoint.entry.id].work_by_request
+            )
+            in_other_zone = endpoint.entry.zone != self.zone
+            return pending, in_other_zone, self.rng.random()
 
         best = min(candidates, key=rank, default=None)
         if best is None:
             return None
         if rank(best)[0] >= best.entry.slots + MAX_PLAIN_QUEUED:
             return None
-        item = self._item(endpoint=best.entry.id, remaining_ms=PLAIN_REQUEST_MS)
+        item = self._make_item(
+            endpoint=best.entry.id, remaining_ms=PLAIN_REQUEST_MS
+        )
         return Placement(endpoint=best, helpers=[], item=item, first_token_s=0)
 
     def _choose_engines(
@@ -247,18 +267,21 @@
             target_ms=max(0.0, job.target_time_left_s()) * _MS_PER_S,
             target_gap_ms=job.route.target_gap_s * _MS_PER_S,
         )
-        loads = [(k, self.load.by_endpoint[k.entry.id]) for k in shuffled]
+        loads = [
+            (endpoint, self.load.by_endpoint[endpoint.entry.id])
+            for endpoint in shuffled
+        ]
         plan = plan_prefill(model, prompt, loads, now, self._tie_break(prompt))
         if plan is None:
             return None
-        return self._placement(plan, model, prompt)
+        return self._make_placement(plan, model, prompt)
 
     def _tie_break(self, prompt: PromptRequirements) -> str:
-        """Returns whose order decides between equally good engines.
+        """Returns the tie-break text for equally good engines.
 
         Daemons of a group prefer the same engines, which packs short answers.
-        Two long prompts that are placed at one moment may not fit into the
-        memory of one engine, so each daemon has an order of its own for them.
+        Two long prompts that are placed at the same time may not fit into the
+        memory of one engine, so each daemon has its own order for them.
         """
         return (
             self.instance
@@ -266,17 +289,17 @@
             else self.group()
         )
 
-    def _placement(
+    def _make_placement(
         self, plan: PrefillPlan, model: EngineModel, prompt: PromptRequirements
     ) -> Placement:
-        writers = (
+        decode_count = (
             self.load.by_endpoint[plan.decode_engine.entry.id].decode_count + 1
         )
         answer_ms = engine_latency.decode_ms(
-            model, prompt.answer_tokens, writers, prompt.tokens
+            model, prompt.answer_tokens, decode_count, prompt.tokens
         )
         remaining_ms = plan.first_token_ms + answer_ms
-        item = self._item(
+        item = self._make_item(
             endpoint=plan.decode_engine.entry.id,
             helpers=[helper.entry.id for helper in plan.helpers],
             read_ms=plan.part_ms,
@@ -296,7 +319,7 @@
             delays_others=plan.interference_cost > 0,
         )
 
-    def _item(self, **values: object) -> WorkItem:
+    def _make_item(self, **values: object) -> WorkItem:
         self._next_id += 1
         return WorkItem(id=self._next_id, **values)  # type: ignore[arg-type]
 
--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -1,4 +1,4 @@
-"""What all daemons have at each endpoint, as far as this one knows."""
+"""Work of all daemons on each endpoint, as known to this daemon."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 EXPIRY_SLACK_S: Final = 1.0
 REPORT_MAX_LAG_S: Final = 0.6
-REPORT_TTL_S: Final = 3.0  # for which a report counts
+REPORT_TTL_S: Final = 3.0  # time for which a report is used
 FULL_TTL_S: Final = 0.4
 MAX_RECENT_END_TIMES: Final = 32
 _MS_PER_S: Final = 1000.0
@@ -22,19 +22,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class EndpointWork:
-    """What one request does at one endpoint.
+    """The work of one request on one endpoint.
 
     Attributes:
-        prefill_s: Time that its reading takes alone, in seconds.
-        prefill_starts_at: Loop time at which its reading starts, in seconds.
-        prefill_ends_at: Loop time at which its reading ends.
-        due_at: Loop time at which its answer has to start.
+        prefill_s: Time that its prefill takes alone, in seconds.
+        prefill_starts_at: Predicted loop time at which its prefill starts, in
+            seconds.
+        prefill_ends_at: Predicted loop time at which its prefill ends.
+        due_at: Loop time by which its first token is due.
         ends_at: Loop time at which the request is expected to end.
-        memory_tokens: Memory it uses here.
-        target_gap_ms: Longest pause between its events, in milliseconds.
-        decodes_here: The answer is written here.
-        writing: Its prompt has been read.
-        joint: Several endpoints read the prompt.
+        memory_tokens: KV cache memory used on this endpoint.
+        target_gap_ms: Longest acceptable gap between its events, in
+            milliseconds.
+        decodes_here: Whether the answer is decoded on this endpoint.
+        prefilled: Whether its prompt has been prefilled.
+        joint: Whether several endpoints prefill the prompt.
     """
 
     prefill_s: float
@@ -45,24 +47,23 @@
     memory_tokens: int
     target_gap_ms: float
     decodes_here: bool
-    writing: bool = False
+    prefilled: bool = False
     joint: bool = False
 
 
 class EndpointLoad:
-    """The work at one endpoint.
+    """The work on one endpoint.
 
     Attributes:
-        work_by_request: Shares of requests, by daemon and number of the
-            request.
-        prefill_ends_at: Loop time at which all reading is predicted to end.
+        work_by_request: Work of requests, by daemon and item id.
+        prefill_ends_at: Predicted loop time at which all prefills end.
         recent_end_times: Loop times at which the last requests ended.
     """
 
     __slots__ = (
         "_full_until",
-        "_observed_at",
         "_report",
+        "_reported_at",
         "prefill_ends_at",
         "recent_end_times",
         "work_by_request",
@@ -74,89 +75,87 @@
         self.recent_end_times: deque[float] = deque(maxlen=MAX_RECENT_END_TIMES)
         self._report = EngineReport()
         self._full_until = 0.0
-        self._observed_at = -REPORT_TTL_S
+        self._reported_at = -REPORT_TTL_S
 
-    def observe(self, report: EngineReport) -> None:
-        """Takes over what the endpoint reported."""
+    def apply_report(self, report: EngineReport) -> None:
+        """Applies a report on the endpoint's load."""
         self._report = report
-        self._observed_at = monotonic_s()
+        self._reported_at = monotonic_s()
 
-    def note_full(self) -> None:
-        """Notes that the endpoint refused a request for want of room."""
+    def record_full(self) -> None:
+        """Records that the endpoint refused a request for lack of capacity."""
         self._full_until = monotonic_s() + FULL_TTL_S
 
     @property
     def is_full(self) -> bool:
-        """Whether it refused a request a moment ago."""
+        """Whether the endpoint refused a request within FULL_TTL_S."""
         return monotonic_s() < self._full_until
 
-    def _is_observed(self) -> bool:
-        return monotonic_s() - self._observed_at < REPORT_TTL_S
+    def _has_fresh_report(self) -> bool:
+        return monotonic_s() - self._reported_at < REPORT_TTL_S
 
     @property
     def unknown_requests(self) -> int:
-        """Requests there that no daemon is known to have."""
-        return self._report.unknown_requests if self._is_observed() else 0
+        """Requests on the endpoint beyond the known work of all daemons."""
+        return self._report.unknown_requests if self._has_fresh_report() else 0
 
     @property
     def unknown_tokens(self) -> int:
-        """Memory in use there that no daemon is known to need."""
-        return self._report.unknown_tokens if self._is_observed() else 0
+        """KV cache memory in use beyond the known work of all daemons."""
+        return self._report.unknown_tokens if self._has_fresh_report() else 0
 
     @property
     def slowdown(self) -> float:
-        """Time that its work takes, relative to the usual."""
-        if not self._is_observed():
+        """Execution time relative to the endpoint's usual one, at least 1."""
+        if not self._has_fresh_report():
             return 1.0
         return max(1.0, self._report.slowdown)
 
     def recent_request_count(self) -> int:
-        """Counts requests that a late report may still include."""
+        """Counts requests that a delayed report may still include."""
         since = monotonic_s() - REPORT_MAX_LAG_S
         return len(self.work_by_request) + sum(
-            at >= since for at in self.recent_end_times
+            ended_at >= since for ended_at in self.recent_end_times
         )
 
     def backlog_ms(self, now: float) -> float:
-        """Returns the predicted rest of all reading, in milliseconds."""
+        """Returns the predicted time of all remaining prefills, in ms."""
         return max(0.0, self.prefill_ends_at - now) * _MS_PER_S
 
     def joint_prefills(self, now: float) -> dict[tuple[str, int], EndpointWork]:
-        """Returns joint reads that are not believed to be done here."""
+        """Returns the joint prefills that are not predicted to have ended."""
         return {
-            key: share
-            for key, share in self.work_by_request.items()
-            if share.joint and not share.writing and share.prefill_ends_at > now
+            key: work
+            for key, work in self.work_by_request.items()
+            if work.joint and not work.prefilled and work.prefill_ends_at > now
         }
 
     def delay_prefills(self, since: float, delay_s: float) -> None:
-        """Moves all reading that ends after a loop time."""
-        for share in self.work_by_request.values():
-            if share.prefill_ends_at > since:
-                share.prefill_ends_at += delay_s
+        """Delays all prefills that are predicted to end after a loop time."""
+        for work in self.work_by_request.values():
+            if work.prefill_ends_at > since:
+                work.prefill_ends_at += delay_s
 
     @property
     def decode_count(self) -> int:
-        """Requests whose answers are or will be written here."""
-        return sum(
-            share.decodes_here for share in self.work_by_request.values()
-        )
+        """Requests whose answers are or will be decoded on this endpoint."""
+        return sum(work.decodes_here for work in self.work_by_request.values())
 
     @property
     def helper_prefill_count(self) -> int:
-        """Requests whose prompts are read here for another endpoint."""
+        """Requests whose prompts are prefilled here for another endpoint."""
         return len(self.work_by_request) - self.decode_count
 
     @property
     def memory_tokens(self) -> int:
-        """Memory that is used here."""
-        known = sum(
-            share.memory_tokens for share in self.work_by_request.values()
+        """KV cache memory in use on this endpoint."""
+        tracked_tokens = sum(
+            work.memory_tokens for work in self.work_by_request.values()
         )
-        return known + self.unknown_tokens
+        return tracked_tokens + self.unknown_tokens
 
     def target_gaps_ms(self) -> list[float]:
-        """Returns the allowed pauses of the answers written here."""
+        """Returns the target gaps of the answers decoded on this endpoint."""
         return [
             s.target_gap_ms
             for s in self.work_by_request.values()
@@ -165,11 +164,11 @@
 
 
 class FleetLoad:
-    """Work at all endpoints, by the daemon that sent it.
+    """Work on all endpoints, by the daemon that sent it.
 
     Attributes:
         by_endpoint: Load by endpoint id.
-        items: Each daemon's requests by number.
+        items: Work items of each daemon, by item id.
     """
 
     __slots__ = ("by_endpoint", "items")
@@ -181,86 +180,90 @@
         self.items: defaultdict[str, dict[int, WorkItem]] = defaultdict(dict)
 
     def add(self, daemon: str, item: WorkItem) -> None:
-        """Adds a request, or updates one that is known."""
-        known = self.items[daemon].get(item.id)
-        if known is not None and known.endpoint == item.endpoint:
-            if item.writing and not known.writing:
-                self.note_prefilled(daemon, item.id)
-            self._extend(daemon, item)
+        """Adds a work item, or updates an existing one."""
+        current = self.items[daemon].get(item.id)
+        if current is not None and current.endpoint == item.endpoint:
+            if item.writing and not current.writing:
+                self.record_prefilled(daemon, item.id)
+            self._extend_end(daemon, item)
             return
-        if known is not None:
+        if current is not None:
             self.remove(daemon, item.id)
         self.items[daemon][item.id] = item
-        self._place(daemon, item, item.endpoint, item.memory_tokens)
-        for number, helper in enumerate(item.helpers):
-            holds = number < item.holders
-            memory = item.helper_memory_tokens if holds else 0
-            self._place(daemon, item, helper, memory)
+        self._add_work(daemon, item, item.endpoint, item.memory_tokens)
+        for index, helper in enumerate(item.helpers):
+            is_holder = index < item.holders
+            memory = item.helper_memory_tokens if is_holder else 0
+            self._add_work(daemon, item, helper, memory)
 
     def remove(self, daemon: str, item_id: int) -> None:
-        """Removes a request that has ended."""
+        """Removes the work item of a request that has ended."""
         item = self.items[daemon].pop(item_id, None)
         if item is None:
             return
         for endpoint in (item.endpoint, *item.helpers):
             load = self.by_endpoint[endpoint]
-            share = load.work_by_request.pop((daemon, item_id), None)
-            if share is not None:
-                _end_reading(load, share)
+            work = load.work_by_request.pop((daemon, item_id), None)
+            if work is not None:
+                _end_prefill(load, work)
                 load.recent_end_times.append(monotonic_s())
 
     def replace(self, daemon: str, items: list[WorkItem]) -> None:
-        """Takes over all requests of a daemon."""
-        present = {item.id for item in items}
-        for item_id in self.items[daemon].keys() - present:
+        """Replaces all work items of a daemon."""
+        current_ids = {item.id for item in items}
+        for item_id in self.items[daemon].keys() - current_ids:
             self.remove(daemon, item_id)
         for item in items:
             self.add(daemon, item)
 
-    def note_prefilled(self, daemon: str, item_id: int) -> None:
-        """Notes that a prompt has been read completely."""
+    def record_prefilled(self, daemon: str, item_id: int) -> None:
+        """Records that the prefill of a prompt has finished."""
         item = self.items[daemon].get(item_id)
         if item is None or item.writing:
             return
         item.writing = True
         for endpoint in (item.endpoint, *item.helpers):
             load = self.by_endpoint[endpoint]
-            share = load.work_by_request.get((daemon, item_id))
-            if share is None:
+            work = load.work_by_request.get((daemon, item_id))
+            if work is None:
                 continue
-            _end_reading(load, share)
-            share.writing = True
-            if not share.decodes_here and not share.memory_tokens:
+            _end_prefill(load, work)
+            work.prefilled = True
+            if not work.decodes_here and not work.memory_tokens:
                 del load.work_by_request[daemon, item_id]
 
     def expire(self, own: str) -> None:
-        """Removes what should have ended long ago at other daemons."""
+        """Removes expired work items of other daemons.
+
+        Args:
+            own: This daemon's instance, whose items do not expire.
+        """
         now = monotonic_s()
         for daemon, items in self.items.items():
             if daemon == own:
-                continue  # its end is noticed here
-            late = [
+                continue  # this daemon removes its items when they end
+            expired = [
                 item.id
                 for item in items.values()
                 if self._ends_at(daemon, item) + EXPIRY_SLACK_S < now
             ]
-            for item_id in late:
+            for item_id in expired:
                 self.remove(daemon, item_id)
 
     def _ends_at(self, daemon: str, item: WorkItem) -> float:
-        share = self.by_endpoint[item.endpoint].work_by_request.get(
+        work = self.by_endpoint[item.endpoint].work_by_request.get(
             (daemon, item.id)
         )
-        return share.ends_at if share else 0.0
+        return work.ends_at if work else 0.0
 
-    def _extend(self, daemon: str, item: WorkItem) -> None:
-        share = self.by_endpoint[item.endpoint].work_by_request.get(
+    def _extend_end(self, daemon: str, item: WorkItem) -> None:
+        work = self.by_endpoint[item.endpoint].work_by_request.get(
             (daemon, item.id)
         )
-        if share is not None:
-            share.ends_at = monotonic_s() + item.remaining_ms / _MS_PER_S
+        if work is not None:
+            work.ends_at = monotonic_s() + item.remaining_ms / _MS_PER_S
 
-    def _place(
+    def _add_work(
         self, daemon: str, item: WorkItem, endpoint: str, memory_tokens: int
     ) -> None:
         now = monotonic_s()
@@ -269,7 +272,7 @@
         prefill_s = 0.0 if item.writing else item.read_ms / _MS_PER_S
         prefill_starts_at = max(now, load.prefill_ends_at)
         load.prefill_ends_at = prefill_starts_at + prefill_s
-        if joint:  # it goes first
+        if joint:  # the newest joint prefill runs first
             load.delay_prefills(now, prefill_s)
             prefill_starts_at = now
         load.work_by_request[daemon, item.id] = EndpointWork(
@@ -281,23 +284,23 @@
             memory_tokens=memory_tokens,
             target_gap_ms=item.target_gap_ms,
             decodes_here=endpoint == item.endpoint,
-            writing=item.writing,
+            prefilled=item.writing,
             joint=joint,
         )
 
 
-def _end_reading(load: EndpointLoad, share: EndpointWork) -> None:
-    """Gives back the reading time that a share no longer needs."""
+def _end_prefill(load: EndpointLoad, work: EndpointWork) -> None:
+    """Subtracts the remaining prefill time of a request from the backlog."""
     now = monotonic_s()
-    left_s = min(
-        share.prefill_s,
-        share.prefill_ends_at - max(now, share.prefill_starts_at),
+    remaining_s = min(
+        work.prefill_s,
+        work.prefill_ends_at - max(now, work.prefill_starts_at),
     )
-    if left_s > 0:
-        load.prefill_ends_at -= left_s
-        if share.joint:
-            load.delay_prefills(share.prefill_ends_at, -left_s)
-    share.prefill_ends_at = min(share.prefill_ends_at, now)
+    if remaining_s > 0:
+        load.prefill_ends_at -= remaining_s
+        if work.joint:
+            load.delay_prefills(work.prefill_ends_at, -remaining_s)
+    work.prefill_ends_at = min(work.prefill_ends_at, now)
 
 
 __all__ = ["EndpointLoad", "FleetLoad", "EndpointWork"]
--- a/src/auburnswitch/routing/group_runner.py
+++ b/src/auburnswitch/routing/group_runner.py
@@ -1,4 +1,4 @@
-"""Runs a prompt on a group of endpoints, segment after segment."""
+"""Runs a prompt on a group of endpoints, one segment after the other."""
 
 from __future__ import annotations
 
@@ -30,13 +30,14 @@
 
 
 class GroupRunner:
-    """Prefills segments along a chain and streams the answer of the last.
+    """Prefills segments in a chain and streams the answer of the last endpoint.
 
     Attributes:
         group_placer: Reserves and releases the groups.
-        client: Calls endpoints.
-        metrics: The daemon's instruments.
-        cleanups: What goes on after an attempt.
+        client: Client for calls to endpoints.
+        metrics: The daemon's metrics.
+        member_id: This daemon's member id.
+        cleanups: Cleanup tasks that outlive an attempt.
     """
 
     __slots__ = ("cleanups", "client", "group_placer", "member_id", "metrics")
@@ -62,7 +63,7 @@
         group: GroupReservation,
         progress: AnswerProgress,
     ) -> AsyncIterator[AnswerText | AnswerEnd]:
-        """Runs one attempt and frees every part of it.
+        """Runs one attempt and releases all its reservations.
 
         Raises:
             EndpointFailureError: An endpoint of the group failed.
@@ -82,12 +83,12 @@
             async with contextlib.aclosing(stream.parts()) as parts:
                 async for part in parts:
                     if isinstance(part, AnswerEnd):
-                        _count_whole_prompt(part, request)
+                        _set_prompt_tokens(part, request)
                     yield part
             succeeded = True
         finally:
-            free = self._free(group, attempt, succeeded=succeeded)
-            self.cleanups.start(free, "free the parts of a group")
+            cleanup = self._release_group(group, attempt, succeeded=succeeded)
+            self.cleanups.start(cleanup, "free the parts of a group")
 
     async def _prefill_chain(
         self, request: RoutedRequest, group: GroupReservation, attempt: Attempt
@@ -116,13 +117,15 @@
         attempt: Attempt,
         body: dict[str, Any],
     ) -> str:
-        patience_s = self.client.settings.stream_idle_timeout_s
-        rate = max(1, spec.prefill_tokens_per_second)
-        patience_s += PREFILL_TIMEOUT_FACTOR * held.work.prefill_tokens / rate
-        until = min(request.deadline_at, monotonic_s() + patience_s)
+        timeout_s = self.client.settings.stream_idle_timeout_s
+        tokens_per_s = max(1, spec.prefill_tokens_per_second)
+        timeout_s += (
+            PREFILL_TIMEOUT_FACTOR * held.work.prefill_tokens / tokens_per_s
+        )
+        timeout_at = min(request.deadline_at, monotonic_s() + timeout_s)
         guard = self.group_placer.placer.reservations.guard(held, attempt)
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(timeout_at):
                 kv_id = await self._post_prefill(spec, attempt, body, guard)
         except TimeoutError as error:
             if monotonic_s() >= request.deadline_at:
@@ -174,12 +177,12 @@
             guard=self.group_placer.placer.reservations.guard(held, attempt),
         )
 
-    async def _free(
+    async def _release_group(
         self, group: GroupReservation, attempt: Attempt, *, succeeded: bool
     ) -> None:
-        """Frees what the attempt left on each endpoint, then its room."""
+        """Frees the attempt on each endpoint and releases the reservations."""
         freed = [
-            await self._free_part(held, attempt)
+            await self._free_endpoint(held, attempt)
             for held in group.reservations
             if held.dispatched_at is not None
         ]
@@ -187,7 +190,9 @@
             group, succeeded=succeeded, may_still_run=not all(freed)
         )
 
-    async def _free_part(self, held: HeldReservation, attempt: Attempt) -> bool:
+    async def _free_endpoint(
+        self, held: HeldReservation, attempt: Attempt
+    ) -> bool:
         state = self.group_placer.placer.endpoint_manager.state
         spec = state.endpoints.get(held.endpoint)
         if spec is None:
@@ -205,7 +210,7 @@
         return spec
 
 
-def _count_whole_prompt(end: AnswerEnd, request: RoutedRequest) -> None:
+def _set_prompt_tokens(end: AnswerEnd, request: RoutedRequest) -> None:
     if "prompt_tokens" in end.usage:
         end.usage["prompt_tokens"] = request.prompt_tokens
 
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -1,7 +1,7 @@
-"""Compares what engines report with what daemons are known to have there.
+"""Compares the load that engines report with the known work of daemons.
 
-Engines go on working for a daemon that lost power, and may turn slow; neither
-shows in the daemons' own account.
+Engines keep running requests of a daemon that lost power, and may become slow.
+The work that daemons publish shows neither.
 """
 
 from __future__ import annotations
@@ -26,34 +26,33 @@
     from auburnswitch.routing.fleet_load import FleetLoad
 
 OBSERVE_INTERVAL_S: Final = 2.0
-FAST_OBSERVE_INTERVAL_S: Final = (
-    0.5  # after the start, and while something is unknown
-)
+# After the start, and for engines with unknown requests or a slowdown.
+FAST_OBSERVE_INTERVAL_S: Final = 0.5
 STARTUP_S: Final = 8.0
 SLOWDOWN_THRESHOLD: Final = 1.15
 MAX_CONCURRENT_REPORTS: Final = 24
 
 
 class LoadObserver:
-    """Asks the engines that this daemon observes for their load.
+    """Polls the engines assigned to this daemon for their load.
 
-    Each engine is observed by one live daemon, which tells the others. The
-    engines of one round are bounded, as a daemon that has just started believes
-    that it is alone.
+    Each engine is polled by one live daemon, which publishes the results to the
+    others. The number of engines polled in one round is bounded, as a daemon
+    that has just started sees no peers and assigns all engines to itself.
 
     Attributes:
-        installation: The endpoints.
-        load: What all daemons have at each endpoint.
-        calls: Calls to endpoints.
+        installation: The endpoints and services.
+        load: Work of all daemons on each endpoint.
+        calls: Client for calls to endpoints.
         instance: This daemon's instance.
         live_instances: Returns the instances of the live peers.
-        publish: Tells the peers of reports.
+        publish: Publishes reports to peers.
     """
 
     __slots__ = (
+        "_assigned",
+        "_assignment_key",
         "_next_at",
-        "_observed",
-        "_observed_of",
         "_started_at",
         "calls",
         "installation",
@@ -81,90 +80,101 @@
         self.publish = publish
         self._started_at = monotonic_s()
         self._next_at: dict[str, float] = {}
-        self._observed: list[KnownEndpoint] = []
-        self._observed_of: tuple[frozenset[str], int] = (frozenset(), -1)
+        self._assigned: list[KnownEndpoint] = []
+        self._assignment_key: tuple[frozenset[str], int] = (frozenset(), -1)
 
     async def run(self) -> None:
-        """Observes engines until it is cancelled."""
+        """Polls engines until cancelled."""
         while True:
             await asyncio.sleep(FAST_OBSERVE_INTERVAL_S)
-            due = self._due()
+            due = self._due_engines()
             reports = await asyncio.gather(*map(self._observe, due))
-            news = [report for report in reports if report is not None]
-            if news:
-                self.publish(news)
+            changed_reports = [
+                report for report in reports if report is not None
+            ]
+            if changed_reports:
+                self.publish(changed_reports)
 
     def apply_report(self, report: EngineReport) -> None:
-        """Takes over a report that a peer has read."""
-        self.load.by_endpoint[report.endpoint].observe(report)
+        """Applies a report published by a peer."""
+        self.load.by_endpoint[report.endpoint].apply_report(report)
 
-    def _due(self) -> list[KnownEndpoint]:
-        """Returns the engines that this daemon has to ask now."""
-        self._share_out()
+    def _due_engines(self) -> list[KnownEndpoint]:
+        """Returns the assigned engines that are due for a poll."""
+        self._refresh_assignment()
         now = monotonic_s()
         due = [
-            known
-            for known in self._observed
-            if self._next_at.get(known.entry.id, 0.0) <= now
+            endpoint
+            for endpoint in self._assigned
+            if self._next_at.get(endpoint.entry.id, 0.0) <= now
         ]
-        due.sort(key=lambda known: self._next_at.get(known.entry.id, 0.0))
+        due.sort(key=lambda endpoint: self._next_at.get(endpoint.entry.id, 0.0))
         return due[:MAX_CONCURRENT_REPORTS]
 
-    def _share_out(self) -> None:
-        """Finds this daemon's engines again if anything has changed."""
+    def _refresh_assignment(self) -> None:
+        """Reassigns engines if the live daemons or the endpoints changed."""
         table = self.installation.table
         if table is None:
             return
         daemons = frozenset([*self.live_instances(), self.instance])
-        current = (daemons, self.installation.endpoints_revision)
-        if current == self._observed_of:
+        assignment_key = (daemons, self.installation.endpoints_revision)
+        if assignment_key == self._assignment_key:
             return
-        self._observed_of = current
+        self._assignment_key = assignment_key
         ring = HashRing(members=daemons)
         engines = {s.name for s in table.config.services if s.engine}
-        self._observed = [
-            known
-            for known in self.installation.endpoints.values()
-            if known.entry.service_name in engines
-            and ring.owner(known.entry.id) == self.instance
+        self._assigned = [
+            endpoint
+            for endpoint in self.installation.endpoints.values()
+            if endpoint.entry.service_name in engines
+            and ring.owner(endpoint.entry.id) == self.instance
         ]
 
-    async def _observe(self, known: KnownEndpoint) -> EngineReport | None:
-        """Asks one engine; returns what peers have to know, if anything."""
+    async def _observe(self, endpoint: KnownEndpoint) -> EngineReport | None:
+        """Polls one engine.
+
+        Returns:
+            The report if it has to be published to peers, else None.
+        """
         now = monotonic_s()
-        load = self.load.by_endpoint[known.entry.id]
-        answer = await self.calls.report(known.entry)
-        if answer is None:
-            self._next_at[known.entry.id] = now + OBSERVE_INTERVAL_S
+        load = self.load.by_endpoint[endpoint.entry.id]
+        load_report = await self.calls.report(endpoint.entry)
+        if load_report is None:
+            self._next_at[endpoint.entry.id] = now + OBSERVE_INTERVAL_S
             return None
-        writers = load.recent_request_count()
-        unknown = max(0, answer.requests - writers)
+        known_requests = load.recent_request_count()
+        unknown_requests = max(0, load_report.requests - known_requests)
         known_tokens = load.memory_tokens - load.unknown_tokens
         report = EngineReport(
-            endpoint=known.entry.id,
-            unknown_requests=unknown,
-            unknown_tokens=max(0, answer.memory_tokens - known_tokens),
-            slowdown=answer.slowdown,
+            endpoint=endpoint.entry.id,
+            unknown_requests=unknown_requests,
+            unknown_tokens=max(0, load_report.memory_tokens - known_tokens),
+            slowdown=load_report.slowdown,
         )
-        if not unknown:
-            report.unknown_tokens = 0  # of requests that have just ended
-        before = (
+        if not unknown_requests:
+            # The excess memory belongs to requests that have just ended.
+            report.unknown_tokens = 0
+        was_abnormal = (
             load.unknown_requests > 0 or load.slowdown >= SLOWDOWN_THRESHOLD
         )
-        strange = unknown > 0 or answer.slowdown >= SLOWDOWN_THRESHOLD
-        load.observe(report)
-        soon = strange or now < self._started_at + STARTUP_S
-        interval_s = FAST_OBSERVE_INTERVAL_S if soon else OBSERVE_INTERVAL_S
-        self._next_at[known.entry.id] = now + interval_s
-        if not strange and not before:
+        is_abnormal = (
+            unknown_requests > 0 or load_report.slowdown >= SLOWDOWN_THRESHOLD
+        )
+        load.apply_report(report)
+        poll_fast = is_abnormal or now < self._started_at + STARTUP_S
+        interval_s = (
+            FAST_OBSERVE_INTERVAL_S if poll_fast else OBSERVE_INTERVAL_S
+        )
+        self._next_at[endpoint.entry.id] = now + interval_s
+        if not is_abnormal and not was_abnormal:
             return None
-        if strange != before:
+        if is_abnormal != was_abnormal:
             log_event(
                 EventId.ENGINE_LOAD_DIFFERS,
-                endpoint=known.entry.id,
-                reported=answer.requests,
-                known=writers,
-                slowdown=answer.slowdown,
+                endpoint=endpoint.entry.id,
+                reported=load_report.requests,
+                known=known_requests,
+                slowdown=load_report.slowdown,
             )
         return report
 
