--- a/src/auburnswitch/daemon/daemon.py
+++ b/src/auburnswitch/daemon/daemon.py
@@ -256,13 +256,13 @@
             interval_s=self.settings.members.heartbeat_interval_s,
         )
         self.membership.heartbeat_fillers.append(limits.fill_heartbeat)
-        self.membership.heartbeat_listeners.append(limits.note_heartbeat)
+        self.membership.heartbeat_listeners.append(limits.on_heartbeat)
         self.endpoint_manager.is_struck = self.strike_registry.is_struck
         self.membership.heartbeat_fillers.append(
             self.strike_registry.fill_heartbeat
         )
         self.membership.heartbeat_listeners.append(
-            self.strike_registry.note_heartbeat
+            self.strike_registry.on_heartbeat
         )
         placer = Placer(
             endpoint_manager=self.endpoint_manager,
--- a/src/auburnswitch/routing/__init__.py
+++ b/src/auburnswitch/routing/__init__.py
@@ -1,3 +1,3 @@
-"""Chooses endpoints and limits work."""
+"""Selects endpoints for requests and limits the load on them."""
 
 from __future__ import annotations
--- a/src/auburnswitch/routing/answer_progress.py
+++ b/src/auburnswitch/routing/answer_progress.py
@@ -1,15 +1,15 @@
-"""What has been delivered of one answer."""
+"""Tracks how much of an answer has been delivered."""
 
 from __future__ import annotations
 
 
 class AnswerProgress:
-    """Counts what the caller has of an answer over all attempts.
+    """Counts the delivered part of an answer over all attempts.
 
     Attributes:
-        text_parts: Pieces of text delivered.
+        text_parts: Pieces of text delivered so far.
         prior_tokens: Frames delivered in earlier attempts, one token each.
-        attempt_frames: Frames of the present attempt that were taken.
+        attempt_frames: Frames accepted in the current attempt.
     """
 
     __slots__ = ("attempt_frames", "prior_tokens", "text_parts")
@@ -25,7 +25,7 @@
         return self.prior_tokens + self.attempt_frames
 
     def start_attempt(self) -> None:
-        """Begins to count the frames of a new attempt."""
+        """Starts counting the frames of a new attempt."""
         self.prior_tokens += self.attempt_frames
         self.attempt_frames = 0
 
--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -1,4 +1,4 @@
-"""Reads one attempt's answer and resumes it on the same endpoint."""
+"""Reads the answer of one attempt and resumes it after a lost connection."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 MAX_RESUMES: Final = 2
 RESUME_DELAY_S: Final = 0.1
 DRAIN_TIMEOUT_S: Final = 0.2
-PREFILL_TIMEOUT_FACTOR: Final = 4.0  # times the prefill of the prompt alone
+PREFILL_TIMEOUT_FACTOR: Final = 4.0  # multiple of the estimated prefill time
 
 
 @dataclass(slots=True, kw_only=True)
 class AnswerText:
-    """Text that goes on with the answer."""
+    """The next piece of an answer's text."""
 
     text: str
 
 
 @dataclass(slots=True, kw_only=True)
 class AnswerEnd:
-    """The explicit end of a whole answer."""
+    """The end frame of a complete answer."""
 
     finish_reason: str
     usage: dict[str, int] = field(default_factory=dict)
 
 
 class AnswerStream:
-    """The answer of one attempt, frame by frame.
+    """Reads the answer of one attempt frame by frame.
 
     Attributes:
-        request: The request that runs.
-        spec: The endpoint it runs on.
-        attempt: Names the attempt.
-        progress: What has been delivered.
-        guard: Called right before the first byte of the attempt; may raise.
+        request: The request of the attempt.
+        spec: The endpoint that runs the request.
+        attempt: Identifies the attempt.
+        progress: The part of the answer that has been delivered.
+        guard: Called right before the first byte is sent; may raise.
     """
 
     __slots__ = (
@@ -89,13 +89,13 @@
         self.progress = progress
 
     async def parts(self) -> AsyncIterator[AnswerText | AnswerEnd]:
-        """Yields the parts of the answer, the last one its end.
+        """Yields the parts of the answer; the last one is an ``AnswerEnd``.
 
         Raises:
-            EndpointFailureError: The answer broke and cannot be resumed.
+            EndpointFailureError: The answer broke off and cannot be resumed.
             TimeoutError: The deadline passed.
         """
-        batches = self._start()
+        batches = self._open_stream()
         resumes = 0
         while True:
             try:
@@ -111,7 +111,7 @@
                 )
             except EndpointFailureError as error:
                 if not self._may_resume(error, resumes):
-                    error.sent = error.sent or resumes > 0  # at the first try
+                    error.sent = error.sent or resumes > 0  # by the first call
                     raise
             resumes += 1
             await asyncio.sleep(RESUME_DELAY_S)
@@ -119,7 +119,7 @@
                 self.spec, self.attempt, self.progress.attempt_frames
             )
 
-    def _start(self) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
+    def _open_stream(self) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
         request = self.request
         body = _engine_body(request, self.progress)
         return self.client.stream(
@@ -137,24 +137,24 @@
             if batch is None:
                 return
             accepted = [frame for frame in batch if self._accept(frame)]
-            if joined := "".join(frame.text for frame in accepted):
-                self.progress.text_parts.append(joined)
-                yield AnswerText(text=joined)
+            if text := "".join(frame.text for frame in accepted):
+                self.progress.text_parts.append(text)
+                yield AnswerText(text=text)
             for frame in accepted:
                 if frame.finish_reason:
-                    yield self._end(frame)
+                    yield self._make_end(frame)
                     return
 
     async def _next_batch(
         self, batches: AsyncIterator[list[StreamFrame | MisroutedFrame]]
     ) -> list[StreamFrame | MisroutedFrame] | None:
-        """Returns the next frames, None at the end of the stream.
+        """Returns the next frames, or None at the end of the stream.
 
         Raises:
             EndpointFailureError: The endpoint sent nothing for too long.
             TimeoutError: The deadline passed.
         """
-        silent_at = monotonic_s() + self._silence_limit_s()
+        silent_at = monotonic_s() + self._frame_timeout_s()
         try:
             async with asyncio.timeout_at(
                 min(silent_at, self.request.deadline_at)
@@ -167,8 +167,8 @@
                 "the endpoint sent nothing for too long", sent=True, lost=False
             ) from error
 
-    def _silence_limit_s(self) -> float:
-        """Returns the longest silence before the next frame, in seconds."""
+    def _frame_timeout_s(self) -> float:
+        """Returns the maximum wait for the next frame, in seconds."""
         idle_s = self.client.settings.stream_idle_timeout_s
         if self.progress.attempt_frames:
             return idle_s
@@ -177,10 +177,10 @@
         return idle_s + PREFILL_TIMEOUT_FACTOR * prefill_s
 
     def _accept(self, frame: StreamFrame | MisroutedFrame) -> bool:
-        """Counts the next frame; tells whether it goes on with the answer.
+        """Returns whether a frame continues the answer, and counts it if so.
 
         Raises:
-            EndpointFailureError: A frame is missing before this one.
+            EndpointFailureError: A frame before this one is missing.
         """
         expected = self.progress.attempt_frames
         match frame:
@@ -199,9 +199,9 @@
         )
         return False
 
-    def _end(self, frame: StreamFrame) -> AnswerEnd:
+    def _make_end(self, frame: StreamFrame) -> AnswerEnd:
         usage = dict(frame.usage or {})
-        if self.progress.prior_tokens:  # the endpoint counted what came before
+        if self.progress.prior_tokens:  # counted as prompt tokens
             usage["prompt_tokens"] -= self.progress.prior_tokens
             usage["completion_tokens"] += self.progress.prior_tokens
         return AnswerEnd(finish_reason=frame.finish_reason, usage=usage)
@@ -210,7 +210,7 @@
 async def _read_rest(
     batches: AsyncIterator[list[StreamFrame | MisroutedFrame]],
 ) -> None:
-    """Reads the end of the response, so that its connection is kept."""
+    """Drains the response so that its connection can be reused."""
     with contextlib.suppress(EndpointFailureError, TimeoutError):
         async with asyncio.timeout(DRAIN_TIMEOUT_S):
             async for _ in batches:
--- a/src/auburnswitch/routing/attempt.py
+++ b/src/auburnswitch/routing/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: sends it to an endpoint and relays the answer."""
+"""Runs one attempt: sends a request to an endpoint and relays the answer."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 
 
 class AttemptRunner:
-    """Sends a request to the endpoints of one placement.
+    """Sends a request to the endpoint of a placement and relays the answer.
 
     Attributes:
-        selector: Keeps account of the work.
-        statistics: Counts latencies.
-        job: The request.
-        placement: Where it is sent.
-        writer: Writes to the caller.
-        progress: What has happened to the request so far.
+        selector: Tracks the queued and running requests of endpoints.
+        statistics: Records latencies.
+        job: The request to send.
+        placement: The endpoint chosen for the request.
+        writer: Writes the answer to the caller.
+        progress: State of the request over all attempts.
     """
 
     __slots__ = (
@@ -84,8 +84,8 @@
             last_event_id=progress.last_event_id,
         )
         timeouts = AttemptTimeouts(job=job, placement=placement)
-        was_unsure = progress.may_have_run
-        progress.may_have_run = True  # until it is known not to have run
+        may_have_run_before = progress.may_have_run
+        progress.may_have_run = True  # reset below if it certainly did not run
         try:
             async with (
                 asyncio.timeout(timeouts.start_timeout_s()) as timer,
@@ -98,7 +98,7 @@
             ):
                 match answer:
                     case RequestNotSent(reason=reason):
-                        progress.may_have_run = was_unsure
+                        progress.may_have_run = may_have_run_before
                         return AttemptFailed(
                             reason=reason,
                             may_have_run=False,
@@ -108,7 +108,7 @@
                     case RequestNotExecuted(
                         status=status, failed_address=address
                     ):
-                        progress.may_have_run = was_unsure
+                        progress.may_have_run = may_have_run_before
                         return AttemptFailed(
                             reason=f"not run, {status}",
                             may_have_run=False,
--- a/src/auburnswitch/routing/attempt_timeouts.py
+++ b/src/auburnswitch/routing/attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""Times after which a silent endpoint is given up."""
+"""Timeouts after which an attempt at a silent endpoint is abandoned."""
 
 from __future__ import annotations
 
@@ -9,25 +9,23 @@
     from auburnswitch.routing.endpoint_selector import Placement
 
 MIN_FIRST_EVENT_TIMEOUT_S: Final = 1.0
-FIRST_EVENT_TARGET_FACTOR: Final = 2.0  # target latencies until the first event
+FIRST_EVENT_TARGET_FACTOR: Final = 2.0  # multiple of the target latency
 FIRST_EVENT_PREDICTION_FACTOR: Final = 2.5
-GAP_TARGET_FACTOR: Final = (
-    4.0  # allowed pauses until an endpoint counts as silent
-)
+GAP_TARGET_FACTOR: Final = 4.0  # multiple of the target gap between events
 IDEMPOTENT_TIMEOUT_FRACTION: Final = (
-    0.35  # of the time left, for a first attempt
+    0.35  # of the time left, for an attempt that is not the last
 )
 
 
 class AttemptTimeouts:
-    """Tells how long an endpoint may be silent on one attempt.
+    """Computes how long an endpoint may be silent during one attempt.
 
-    The last endpoint that a request may be sent to has no limit: its silence
-    alone is no reason to end an answer.
+    The last allowed attempt of a request has no such timeout: silence alone is
+    no reason to end its answer.
 
     Attributes:
         job: The request.
-        placement: Where it is sent.
+        placement: The endpoint chosen for the request.
     """
 
     __slots__ = ("job", "placement")
@@ -36,13 +34,16 @@
         self.job = job
         self.placement = placement
 
-    def _last_attempt(self) -> bool:
+    def _is_last_attempt(self) -> bool:
         job = self.job
         return not job.retryable or job.attempts + 1 >= job.route.max_attempts
 
     def start_timeout_s(self) -> float | None:
-        """Returns the wait for the answer's start, None without a limit."""
-        if self._last_attempt():
+        """Returns the timeout for the start of the answer, in seconds.
+
+        None means no timeout.
+        """
+        if self._is_last_attempt():
             return None
         if not self.job.is_stream:
             return self.job.time_left_s() * IDEMPOTENT_TIMEOUT_FRACTION
@@ -53,9 +54,12 @@
         )
 
     def gap_timeout_s(self) -> float | None:
-        """Returns the wait for a further event, None without a limit."""
+        """Returns the timeout for the next event, in seconds.
+
+        None means no timeout.
+        """
         gap_s = self.job.route.target_gap_s
-        if self._last_attempt() or gap_s <= 0:
+        if self._is_last_attempt() or gap_s <= 0:
             return None
         return GAP_TARGET_FACTOR * gap_s
 
--- a/src/auburnswitch/routing/completion_checks.py
+++ b/src/auburnswitch/routing/completion_checks.py
@@ -1,4 +1,4 @@
-"""Checks the end of each request against the invariants."""
+"""Checks invariants at the end of each request."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class CompletionChecks:
-    """What must hold when a request ends.
+    """Checks the invariants of a request that ends.
 
     Attributes:
-        endpoint_manager: Where the invariants and the pauses are known.
+        endpoint_manager: Provides the invariants, and the member view that
+            records pauses of this process.
     """
 
     __slots__ = ("endpoint_manager",)
@@ -31,7 +32,7 @@
         self.endpoint_manager = endpoint_manager
 
     def check_refusal(self, request: RoutedRequest, refused: Refusal) -> None:
-        """Checks that a refusal as not run is true."""
+        """Checks that a request refused as not run was not dispatched."""
         self.endpoint_manager.invariants.check(
             refused.ran != Ran.NO or not request.dispatched,
             Invariant.NOT_RUN,
@@ -42,7 +43,7 @@
     def check_token_count(
         self, request: RoutedRequest, progress: AnswerProgress, end: AnswerEnd
     ) -> None:
-        """Checks that every token of an answer was delivered, once."""
+        """Checks that every token of an answer was delivered exactly once."""
         counted = end.usage.get("completion_tokens", 0)
         self.endpoint_manager.invariants.check(
             counted == progress.delivered_tokens,
@@ -53,7 +54,7 @@
         )
 
     def check_attempt_count(self, request: RoutedRequest) -> None:
-        """Checks that a non-idempotent request was attempted once at most."""
+        """Checks that a non-idempotent request was attempted at most once."""
         self.endpoint_manager.invariants.check(
             request.idempotent or request.attempts <= 1,
             Invariant.AT_MOST_ONCE,
@@ -62,22 +63,25 @@
         )
 
     def check_deadline(self, request: RoutedRequest, resumed_at: float) -> None:
-        """Checks that a request ends within its deadline.
+        """Checks that a request ends within its deadline plus some slack.
+
+        A pause of this process excuses a late end.
 
         Args:
             request: The request.
-            resumed_at: Loop time at which its caller last took a part of the
-                answer, in seconds; a slow caller's time does not count.
+            resumed_at: Loop time at which the caller last accepted a part of
+                the answer, in seconds; time spent waiting for a slow caller
+                does not count.
         """
         view = self.endpoint_manager.view
         now = monotonic_s()
         late_s = now - max(request.deadline_at, resumed_at)
-        paused = (
+        was_paused = (
             now - view.last_tick_at > view.settings.suspect_after_s
             or view.last_resumed_at > request.deadline_at
         )
         self.endpoint_manager.invariants.check(
-            late_s <= DEADLINE_SLACK_S or paused,
+            late_s <= DEADLINE_SLACK_S or was_paused,
             Invariant.DEADLINE,
             request_id=request.id,
             late_s=late_s,
--- a/src/auburnswitch/routing/crash_detector.py
+++ b/src/auburnswitch/routing/crash_detector.py
@@ -1,4 +1,4 @@
-"""Decides whether a failed attempt met a crash of its endpoint."""
+"""Detects whether an attempt failed because its endpoint crashed."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class CrashDetector:
-    """Gives strikes and tells the peers before the request goes on.
+    """Adds strikes for crashes and announces them before a request is retried.
 
     Attributes:
-        strikes: Strikes known to this daemon.
-        client: Calls endpoints.
-        membership: Sends heartbeats to the peers.
+        strikes: The strikes recorded at this daemon.
+        client: Sends calls to endpoints.
+        membership: Sends heartbeats to peers.
     """
 
     __slots__ = ("client", "membership", "strikes")
@@ -44,25 +44,28 @@
     async def check_for_crash(
         self, request: RoutedRequest, held: HeldReservation, spec: Endpoint
     ) -> None:
-        """Strikes a request that was in flight when its endpoint crashed.
+        """Adds a strike to a request that was in flight at an endpoint's crash.
 
-        An endpoint that still reports the start of the reservation has only
-        lost a connection.
+        An endpoint that still reports the boot id of the reservation has not
+        crashed; only the connection was lost.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(request.deadline_at):
                 boot_id = await self.client.read_boot_id(spec)
                 if boot_id == held.boot_id:
                     return
-                new = self.strikes.add(
+                is_new = self.strikes.add(
                     request.fingerprint, held.endpoint, held.boot_id
                 )
-                if new:
-                    await self._spread()
+                if is_new:
+                    await self._announce_strike()
 
-    async def _spread(self) -> None:
-        """Waits until every live peer has been told, or for a call's time."""
-        told_at = monotonic_s()
+    async def _announce_strike(self) -> None:
+        """Sends heartbeats at once and waits for the acks of all live peers.
+
+        The wait ends after the call timeout at the latest.
+        """
+        requested_at = monotonic_s()
         for link in self.membership.links.values():
             link.heartbeat_requested.set()
         view = self.membership.view
@@ -70,7 +73,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while not all(
-                    view.peers[peer_id].acked_at >= told_at
+                    view.peers[peer_id].acked_at >= requested_at
                     for peer_id in view.live_ids()
                     if peer_id in view.peers
                 ):
--- a/src/auburnswitch/routing/crash_registry.py
+++ b/src/auburnswitch/routing/crash_registry.py
@@ -1,4 +1,4 @@
-"""Remembers which requests were at an endpoint when it crashed."""
+"""Records which requests an endpoint was running when it crashed."""
 
 from __future__ import annotations
 
@@ -15,33 +15,35 @@
 
     from auburnswitch.platform.requests import CallerRequest
 
-CRASHES_TO_FORBID_RETRY: Final = 2  # from which a request is no longer repeated
-CRASHES_TO_REFUSE: Final = 3  # from which it is refused
+CRASHES_TO_FORBID_RETRY: Final = (
+    2  # crashes after which a request is not retried
+)
+CRASHES_TO_REFUSE: Final = 3  # crashes after which a request is refused
 RETENTION_S: Final = 600.0
 MAX_FINGERPRINTS: Final = 5000
-ANNOUNCE_DURATION_S: Final = 1.5  # for which peers are told of a crash
-MAX_CRASHES_PER_DATAGRAM: Final = 40  # crashes in one datagram
+ANNOUNCE_DURATION_S: Final = 1.5  # time that a crash is announced to peers
+MAX_CRASHES_PER_DATAGRAM: Final = 40
 _SEPARATOR: Final = "/"
 
 
 class CrashRegistry:
-    """Crashes by the fingerprints of the requests that were there.
+    """Counts the crashes during which each request was running.
 
-    A crash is known by its endpoint, so that reports of several daemons about
-    the same one count once.
+    A crash is identified by the request's fingerprint and the endpoint, so that
+    reports of the same crash from several daemons count once.
     """
 
-    __slots__ = ("_crashes", "_news")
+    __slots__ = ("_crashes", "_recorded_at")
 
     def __init__(self) -> None:
         self._crashes: OrderedDict[str, dict[str, float]] = OrderedDict()
-        self._news: dict[str, float] = {}
+        self._recorded_at: dict[str, float] = {}
 
     def record_crash(self, fingerprint: str, endpoint: str) -> None:
-        """Counts a crash that this daemon has seen."""
+        """Records a crash that this daemon has observed."""
         if self._add(fingerprint, endpoint):
-            name = f"{fingerprint}{_SEPARATOR}{endpoint}"
-            self._news[name] = monotonic_s()
+            crash_name = f"{fingerprint}{_SEPARATOR}{endpoint}"
+            self._recorded_at[crash_name] = monotonic_s()
             log_event(
                 EventId.CRASH_STRIKE,
                 fingerprint=fingerprint,
@@ -49,35 +51,37 @@
                 crashes=self.count(fingerprint),
             )
 
-    def merge_peer_crashes(self, names: Iterable[str]) -> None:
-        """Counts crashes that a peer has seen."""
-        for name in names:
-            fingerprint, _, endpoint = name.partition(_SEPARATOR)
+    def merge_peer_crashes(self, crash_names: Iterable[str]) -> None:
+        """Records crashes that a peer has observed."""
+        for crash_name in crash_names:
+            fingerprint, _, endpoint = crash_name.partition(_SEPARATOR)
             if endpoint:
                 self._add(fingerprint, endpoint)
 
     def recent_local_crashes(self) -> list[str]:
-        """Returns the crashes that peers are told of."""
+        """Returns the local crashes to announce to peers."""
         now = monotonic_s()
-        old = [
-            n for n, at in self._news.items() if at < now - ANNOUNCE_DURATION_S
+        expired = [
+            crash_name
+            for crash_name, at in self._recorded_at.items()
+            if at < now - ANNOUNCE_DURATION_S
         ]
-        for name in old:
-            del self._news[name]
-        return list(self._news)[:MAX_CRASHES_PER_DATAGRAM]
+        for crash_name in expired:
+            del self._recorded_at[crash_name]
+        return list(self._recorded_at)[:MAX_CRASHES_PER_DATAGRAM]
 
     def count(self, fingerprint: str) -> int:
-        """Returns how often a request was at an endpoint that crashed."""
-        since = monotonic_s() - RETENTION_S
+        """Returns how many endpoints crashed while running a request."""
+        oldest = monotonic_s() - RETENTION_S
         crashes = self._crashes.get(fingerprint, {})
-        return sum(at >= since for at in crashes.values())
+        return sum(at >= oldest for at in crashes.values())
 
     def is_retry_forbidden(self, fingerprint: str) -> bool:
-        """Whether a request may be sent to one endpoint only."""
+        """Returns whether a request must not be retried."""
         return self.count(fingerprint) >= CRASHES_TO_FORBID_RETRY
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Whether a request may not be sent to any endpoint."""
+        """Returns whether a request must not be sent to any endpoint."""
         return self.count(fingerprint) >= CRASHES_TO_REFUSE
 
     def _add(self, fingerprint: str, endpoint: str) -> bool:
@@ -92,7 +96,7 @@
 
 
 def compute_fingerprint(request: CallerRequest, body: bytes) -> str:
-    """Returns what recognises a request that comes again."""
+    """Returns a hash that identifies a request when it is sent again."""
     digest = hashlib.blake2b(digest_size=12)
     for part in (request.target, request.caller_key):
         digest.update(part.encode("latin-1", "replace") + b"\0")
--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -1,4 +1,4 @@
-"""Delivers a request to endpoints until it is answered or must fail."""
+"""Attempts a request at endpoints until it is answered or has to fail."""
 
 from __future__ import annotations
 
@@ -72,8 +72,8 @@
     async def deliver(
         self, job: DeliveryJob, writer: AnswerWriter
     ) -> Delivered | DeliveryFailed:
-        """Delivers a request, within its deadline."""
-        self.budget.note_request(job.service.name)
+        """Delivers a request within its deadline."""
+        self.budget.record_request(job.service.name)
         if self.crash_registry.is_refused(job.fingerprint):
             return DeliveryFailed(
                 reason="crashes endpoints",
@@ -83,46 +83,50 @@
         progress = DeliveryProgress(last_event_id=job.request.last_event_id)
         try:
             async with asyncio.timeout_at(job.deadline_at):
-                return await self._attempts(job, writer, progress)
+                return await self._run_attempts(job, writer, progress)
         except TimeoutError:
             return DeliveryFailed(
                 reason="deadline", may_have_run=progress.may_have_run
             )
 
-    async def _attempts(
+    async def _run_attempts(
         self, job: DeliveryJob, writer: AnswerWriter, progress: DeliveryProgress
     ) -> Delivered | DeliveryFailed:
-        last: AttemptFailed | None = None
+        last_failure: AttemptFailed | None = None
         while True:
-            if last is not None and not self._may_retry(job, last):
-                return await self._give_up(last, writer, progress)
+            if last_failure is not None and not self._may_retry(
+                job, last_failure
+            ):
+                return await self._final_outcome(last_failure, writer, progress)
             placement = await wait_for_placement(self.selector, job)
             if job.time_left_s() < MIN_SEND_TIME_LEFT_S:
-                placement = None  # also after this process stood still
+                placement = None  # for example after a pause of this process
             if placement is None:
-                if last is not None:
-                    return await self._give_up(last, writer, progress)
-                return self._no_room(job)
+                if last_failure is not None:
+                    return await self._final_outcome(
+                        last_failure, writer, progress
+                    )
+                return self._placement_failure(job)
             outcome = await self._attempt(job, placement, writer, progress)
             match outcome:
                 case Delivered():
                     return outcome
                 case AttemptFailed():
-                    last = outcome
-            self.statistics.retries[last.cause] += 1
-            progress.may_have_run |= last.may_have_run
-            job.attempts += last.sent
-            if last.sent or last.failed_to_connect:
+                    last_failure = outcome
+            self.statistics.retries[last_failure.cause] += 1
+            progress.may_have_run |= last_failure.may_have_run
+            job.attempts += last_failure.sent
+            if last_failure.sent or last_failure.failed_to_connect:
                 job.excluded.add(placement.endpoint.entry.id)
             log_event(
                 EventId.REQUEST_RETRIED,
                 request=job.request.id,
                 endpoint=placement.endpoint.entry.id,
-                reason=last.reason,
+                reason=last_failure.reason,
                 attempts=job.attempts,
             )
 
-    def _no_room(self, job: DeliveryJob) -> DeliveryFailed:
+    def _placement_failure(self, job: DeliveryJob) -> DeliveryFailed:
         if self.selector.is_feasible(job):
             return DeliveryFailed(reason="no room", may_have_run=False)
         return DeliveryFailed(
@@ -131,8 +135,8 @@
             retry=RetryAdvice.LATER,
         )
 
-    def _may_retry(self, job: DeliveryJob, last: AttemptFailed) -> bool:
-        if last.may_have_run and not job.retryable:
+    def _may_retry(self, job: DeliveryJob, last_failure: AttemptFailed) -> bool:
+        if last_failure.may_have_run and not job.retryable:
             return False
         if self.crash_registry.is_retry_forbidden(job.fingerprint):
             return False
@@ -140,22 +144,24 @@
             return False
         if job.time_left_s() < MIN_RETRY_TIME_LEFT_S:
             return False
-        return not last.sent or self.budget.try_acquire(job.service.name)
+        return not last_failure.sent or self.budget.try_acquire(
+            job.service.name
+        )
 
-    async def _give_up(
+    async def _final_outcome(
         self,
-        last: AttemptFailed,
+        last_failure: AttemptFailed,
         writer: AnswerWriter,
         progress: DeliveryProgress,
     ) -> Delivered | DeliveryFailed:
-        if last.head is None or writer.started:
+        if last_failure.head is None or writer.started:
             return DeliveryFailed(
-                reason=last.reason, may_have_run=progress.may_have_run
+                reason=last_failure.reason, may_have_run=progress.may_have_run
             )
-        await writer.start(last.head.status, last.head.headers)
-        await writer.write(last.body)
+        await writer.start(last_failure.head.status, last_failure.head.headers)
+        await writer.write(last_failure.body)
         await writer.finish()
-        return Delivered(status=last.head.status)
+        return Delivered(status=last_failure.head.status)
 
     async def _attempt(
         self,
@@ -190,10 +196,10 @@
             self.selector.end(placement)
         if isinstance(outcome, AttemptFailed) and outcome.connection_broken:
             self.crash_registry.record_crash(job.fingerprint, endpoint.id)
-        self._note_health(endpoint.id, outcome, job)
+        self._record_health(endpoint.id, outcome, job)
         return outcome
 
-    def _note_health(
+    def _record_health(
         self,
         endpoint: str,
         outcome: Delivered | AttemptFailed,
@@ -205,21 +211,21 @@
                 other != endpoint
             ):
                 job.excluded.add(other)
-                health.note_failure(other, reason, HARD_FAILURE_WEIGHT)
+                health.record_failure(other, reason, HARD_FAILURE_WEIGHT)
             case Delivered():
-                health.note_success(endpoint)
+                health.record_success(endpoint)
             case AttemptFailed(sent=True, may_have_run=False, reason=reason):
                 self.selector.load.by_endpoint[endpoint].note_full()
-                health.note_failure(endpoint, reason, SOFT_FAILURE_WEIGHT)
+                health.record_failure(endpoint, reason, SOFT_FAILURE_WEIGHT)
             case AttemptFailed(head=ResponseHead()):
-                health.note_failure(
+                health.record_failure(
                     endpoint, outcome.reason, SOFT_FAILURE_WEIGHT
                 )
             case (
                 AttemptFailed(sent=True, reason=reason)
                 | AttemptFailed(failed_to_connect=True, reason=reason)
             ):
-                health.note_failure(endpoint, reason, HARD_FAILURE_WEIGHT)
+                health.record_failure(endpoint, reason, HARD_FAILURE_WEIGHT)
 
 
 __all__ = ["DeliveryRunner"]
--- a/src/auburnswitch/routing/delivery_job.py
+++ b/src/auburnswitch/routing/delivery_job.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way to endpoints."""
+"""The state of a caller's request while it is being delivered."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class DeliveryJob:
-    """One attempt of a caller, with all that was decided about it.
+    """A caller's request with its route, deadlines and attempts.
 
     Attributes:
         request: The request.
-        body: Its whole body.
-        route: Route as of the configuration at its arrival.
-        service: Service that runs it.
-        team: Team of the caller, empty if it needs none.
-        arrived_at: Loop time of its arrival, in seconds.
-        deadline_at: Loop time by which it must be answered.
-        caller_deadline_at: Loop time until which the caller waits.
-        fingerprint: Recognises the request when it comes again.
-        attempts: Endpoints that it was sent to.
-        excluded: Endpoints that have failed it.
+        body: The complete request body.
+        route: Route in the configuration at the request's arrival.
+        service: Service that runs the request.
+        team: Team of the caller, empty if the request needs none.
+        arrived_at: Loop time of the request's arrival, in seconds.
+        deadline_at: Loop time by which the request must be answered, in
+            seconds.
+        caller_deadline_at: Loop time until which the caller waits, in seconds.
+        fingerprint: Identifies the request when it is sent again.
+        attempts: Number of attempts that count as sent to an endpoint.
+        excluded: Endpoints that must not be tried again.
     """
 
     request: CallerRequest
@@ -45,7 +46,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         match self.route.kind:
             case RequestKind.IDEMPOTENT:
                 return True
@@ -59,13 +60,13 @@
         return self.route.kind == RequestKind.STREAM
 
     def time_left_s(self) -> float:
-        """Returns the time until it must be answered, in seconds."""
+        """Returns the time until the deadline, in seconds."""
         return self.deadline_at - monotonic_s()
 
     def target_time_left_s(self) -> float:
-        """Returns the time left in which an answer is worth most."""
-        passed_s = monotonic_s() - self.arrived_at
-        return self.route.target_latency_s - passed_s
+        """Returns the time left until the target latency, in seconds."""
+        elapsed_s = monotonic_s() - self.arrived_at
+        return self.route.target_latency_s - elapsed_s
 
 
 __all__ = ["DeliveryJob"]
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs a request: places it, sends it, and retries where that is allowed."""
+"""Runs requests: places them, sends them and retries where allowed."""
 
 from __future__ import annotations
 
@@ -40,9 +40,7 @@
     from auburnswitch.routing.team_limits import TeamLimits
 
 
-UNKNOWN_STREAM_STATUS: Final = (
-    404  # the endpoint does not know the stream any more
-)
+UNKNOWN_STREAM_STATUS: Final = 404  # the endpoint no longer has the stream
 BUDGET_SPENT_RETRY_AFTER_S: Final = 5.0
 
 
@@ -60,15 +58,16 @@
     """Runs requests on endpoints.
 
     Attributes:
-        placer: Finds endpoints.
-        client: Calls endpoints.
-        metrics: The daemon's instruments.
-        cleanups: Cancellations and releases that go on after an attempt.
-        crash_detector: Finds out whether a lost endpoint has crashed.
-        budget: Retries that may still be made.
+        placer: Reserves endpoints for requests.
+        client: Sends calls to endpoints.
+        metrics: The daemon's metrics.
+        member_id: Id of this daemon.
+        cleanups: Background cancellations and releases of ended attempts.
+        crash_detector: Detects whether a lost endpoint has crashed.
+        budget: Limits retries.
         limits: Admits requests within their teams' limits.
-        groups: Runs prompts that are larger than one endpoint.
-        completion_checks: What must hold when a request ends.
+        groups: Runs prompts that exceed the capacity of one endpoint.
+        completion_checks: Checks the invariants at the end of each request.
     """
 
     __slots__ = (
@@ -111,7 +110,7 @@
         )
 
     async def run(self, request: RoutedRequest) -> AsyncIterator[AnswerPart]:
-        """Yields the parts of the answer; the last one is its end."""
+        """Yields the parts of the answer; the last is its end or a failure."""
         if refused := self.limits.admit(request):
             yield AnswerFailed(refusal=refused)
             return
@@ -119,7 +118,7 @@
         try:
             async with contextlib.aclosing(self._run(request)) as parts:
                 async for part in parts:
-                    self._check_end(request, part, resumed_at)
+                    self._check_completion(request, part, resumed_at)
                     yield part
                     resumed_at = monotonic_s()
         finally:
@@ -129,21 +128,23 @@
         progress = AnswerProgress()
         excluded: set[str] = set()
         last_error = ""
-        self.budget.note_admitted()
+        self.budget.record_admission()
         while request.attempts < request.max_attempts:
             try:
                 async with asyncio.timeout_at(request.deadline_at):
-                    placed = await self._place(request, excluded)
+                    placement = await self._place(request, excluded)
             except TimeoutError:
-                yield AnswerFailed(refusal=_deadline(request, progress))
+                yield AnswerFailed(refusal=_deadline_refusal(request, progress))
                 return
-            if isinstance(placed, Refusal):
-                yield AnswerFailed(refusal=_after_attempts(placed, progress))
+            if isinstance(placement, Refusal):
+                yield AnswerFailed(
+                    refusal=_set_ran_after_attempts(placement, progress)
+                )
                 return
             request.attempts += 1
             dispatched_before = request.dispatched
             try:
-                attempt = self._attempt_on(request, placed, progress)
+                attempt = self._start_attempt(request, placement, progress)
                 async with contextlib.aclosing(attempt) as parts:
                     async for part in parts:
                         if isinstance(part, AnswerEnd):
@@ -154,26 +155,28 @@
                 self.placer.strikes.clear(request.fingerprint)
                 return
             except TimeoutError:
-                yield AnswerFailed(refusal=_deadline(request, progress))
+                yield AnswerFailed(refusal=_deadline_refusal(request, progress))
                 return
             except EndpointFailureError as error:
                 last_error = str(error)
-                excluded.add(placed.endpoint)
+                excluded.add(placement.endpoint)
                 sent = error.sent or progress.attempt_frames > 0
                 request.dispatched = dispatched_before or sent
                 if sent and (
                     error.lost or error.status == UNKNOWN_STREAM_STATUS
                 ):
-                    await self._note_lost(request, placed)
+                    await self._check_for_crash(request, placement)
                 if progress.text_parts and not request.allow_continuation:
                     break
                 if sent and not self.budget.try_acquire():
-                    yield AnswerFailed(refusal=_spent(progress))
+                    yield AnswerFailed(refusal=_budget_refusal(progress))
                     return
-                self._note_retry(request, placed, last_error)
-        yield AnswerFailed(refusal=_failed(request, progress, last_error))
+                self._record_retry(request, placement, last_error)
+        yield AnswerFailed(
+            refusal=_failure_refusal(request, progress, last_error)
+        )
 
-    def _check_end(
+    def _check_completion(
         self, request: RoutedRequest, part: AnswerPart, resumed_at: float
     ) -> None:
         match part:
@@ -190,19 +193,19 @@
             return await self.groups.group_placer.place(request, excluded)
         return await self.placer.place(request, excluded)
 
-    def _attempt_on(
+    def _start_attempt(
         self,
         request: RoutedRequest,
-        placed: HeldReservation | GroupReservation,
+        placement: HeldReservation | GroupReservation,
         progress: AnswerProgress,
     ) -> AsyncIterator[AnswerPart]:
-        match placed:
+        match placement:
             case GroupReservation():
-                return self.groups.attempt(request, placed, progress)
+                return self.groups.attempt(request, placement, progress)
             case _:
-                return self._attempt(request, placed, progress)
+                return self._attempt(request, placement, progress)
 
-    async def _note_lost(
+    async def _check_for_crash(
         self,
         request: RoutedRequest,
         held: HeldReservation | GroupReservation,
@@ -217,7 +220,7 @@
         held: HeldReservation,
         progress: AnswerProgress,
     ) -> AsyncIterator[AnswerPart]:
-        """Runs one attempt and gives its reservation back.
+        """Runs one attempt and releases its reservation afterwards.
 
         Raises:
             EndpointFailureError: The endpoint failed.
@@ -247,22 +250,22 @@
                 async for part in parts:
                     finished = isinstance(part, AnswerEnd)
                     yield part
-                    self._note_prefilled(request, held, started_at)
+                    self._record_first_token(request, held, started_at)
         except EndpointFailureError as error:
             lost = error.lost
             finished = error.lost
             raise
         finally:
-            runs = not finished and held.dispatched_at is not None
-            end = self._end(
+            may_still_run = not finished and held.dispatched_at is not None
+            end = self._end_attempt(
                 held,
-                attempt if runs else None,
+                attempt if may_still_run else None,
                 succeeded=finished and not lost,
                 endpoint_lost=lost,
             )
             self.cleanups.start(end, "end attempt")
 
-    async def _end(
+    async def _end_attempt(
         self,
         held: HeldReservation,
         attempt: Attempt | None,
@@ -270,7 +273,7 @@
         succeeded: bool,
         endpoint_lost: bool,
     ) -> None:
-        """Cancels an attempt if there is one, then gives its room back."""
+        """Cancels the attempt, if given, and releases its reservation."""
         may_still_run = endpoint_lost
         if attempt is not None:
             spec = self.placer.endpoint_manager.state.endpoints.get(
@@ -285,7 +288,7 @@
             may_still_run=may_still_run,
         )
 
-    def _note_prefilled(
+    def _record_first_token(
         self, request: RoutedRequest, held: HeldReservation, started_at: float
     ) -> None:
         if held.work.prefill_tokens == 0:
@@ -299,7 +302,7 @@
         progress = self.placer.reservations.note_prefilled(held)
         self.cleanups.start(progress, "note progress")
 
-    def _note_retry(
+    def _record_retry(
         self,
         request: RoutedRequest,
         held: HeldReservation | GroupReservation,
@@ -316,14 +319,16 @@
         )
 
 
-def _deadline(request: RoutedRequest, progress: AnswerProgress) -> Refusal:
+def _deadline_refusal(
+    request: RoutedRequest, progress: AnswerProgress
+) -> Refusal:
     ran = Ran.NO
     if request.dispatched:
         ran = Ran.YES if progress.text_parts else Ran.UNKNOWN
     return refusal(ResultCode.DEADLINE_EXCEEDED, ran=ran)
 
 
-def _failed(
+def _failure_refusal(
     request: RoutedRequest, progress: AnswerProgress, reason: str
 ) -> Refusal:
     if progress.text_parts:
@@ -332,7 +337,7 @@
     return refusal(ResultCode.ENDPOINT_FAILED, reason, ran=ran, retry_after_s=1)
 
 
-def _spent(progress: AnswerProgress) -> Refusal:
+def _budget_refusal(progress: AnswerProgress) -> Refusal:
     ran = Ran.YES if progress.text_parts else Ran.UNKNOWN
     return refusal(
         ResultCode.RETRY_BUDGET_SPENT,
@@ -341,7 +346,9 @@
     )
 
 
-def _after_attempts(refused: Refusal, progress: AnswerProgress) -> Refusal:
+def _set_ran_after_attempts(
+    refused: Refusal, progress: AnswerProgress
+) -> Refusal:
     if progress.text_parts:
         refused.ran = Ran.YES
     return refused
--- a/src/auburnswitch/routing/endpoint_health.py
+++ b/src/auburnswitch/routing/endpoint_health.py
@@ -1,4 +1,4 @@
-"""Remembers which endpoints fail requests."""
+"""Scores endpoints by their recent failures."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 SUSPECT_SCORE: Final = 1.5
 SUCCESS_FACTOR: Final = 0.6
-HARD_FAILURE_WEIGHT: Final = 1.0  # no or a broken answer
-SOFT_FAILURE_WEIGHT: Final = 0.5  # an error that the endpoint answered
+HARD_FAILURE_WEIGHT: Final = 1.0  # no answer, or a broken one
+SOFT_FAILURE_WEIGHT: Final = 0.5  # the endpoint answered with an error
 HALF_LIFE_S: Final = 2.0
 
 
@@ -31,10 +31,10 @@
 
 
 class EndpointHealth:
-    """Scores endpoints by their failures; scores fade with time.
+    """Scores endpoints by their failures; scores decay exponentially.
 
     Attributes:
-        scores: Score by endpoint id.
+        scores: Failure score by endpoint id.
     """
 
     __slots__ = ("scores",)
@@ -42,10 +42,10 @@
     def __init__(self) -> None:
         self.scores: defaultdict[str, _Score] = defaultdict(_Score)
 
-    def note_failure(
+    def record_failure(
         self, endpoint: str, reason: str, weight: float = HARD_FAILURE_WEIGHT
     ) -> None:
-        """Counts a failure."""
+        """Records a failed request."""
         score = self.scores[endpoint]
         before = score.decay()
         score.value = before + weight
@@ -54,14 +54,14 @@
                 EventId.ENDPOINT_SUSPECTED, endpoint=endpoint, reason=reason
             )
 
-    def note_success(self, endpoint: str) -> None:
-        """Counts a request that succeeded."""
+    def record_success(self, endpoint: str) -> None:
+        """Records a successful request, which lowers the score."""
         if endpoint in self.scores:
             score = self.scores[endpoint]
             score.value = score.decay() * SUCCESS_FACTOR
 
     def is_suspect(self, endpoint: str) -> bool:
-        """Whether other endpoints should be tried first."""
+        """Returns whether other endpoints should be tried first."""
         if endpoint not in self.scores:
             return False
         return self.scores[endpoint].decay() >= SUSPECT_SCORE
--- a/src/auburnswitch/routing/outcomes.py
+++ b/src/auburnswitch/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of a request, and of one attempt at it."""
+"""Outcomes of a request and of its attempts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Writes the answer to the caller.
 
     Attributes:
-        started: The status has been written.
+        started: Whether the status has been written.
     """
 
     started: bool
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Delivered:
-    """The caller has the whole answer of an endpoint.
+    """A complete answer of an endpoint has been delivered to the caller.
 
     Attributes:
         status: HTTP status of the answer.
@@ -42,11 +42,11 @@
 
 
 class RetryAdvice(enum.Enum):
-    """When a caller may come back with a request."""
+    """Whether and when a caller should send a failed request again."""
 
-    SOON = "room comes and goes"
-    LATER = "too few endpoints that it could run on are in service"
-    NEVER = "it would fail again"
+    SOON = "capacity may become available"
+    LATER = "too few endpoints that can run the request are in service"
+    NEVER = "the request would fail again"
 
 
 @dataclass(slots=True, kw_only=True)
@@ -54,9 +54,9 @@
     """No endpoint's answer could be delivered.
 
     Attributes:
-        reason: Why, for the log.
-        may_have_run: Some endpoint may have run the request.
-        retry: When the caller may come back.
+        reason: Reason of the failure, for the log.
+        may_have_run: Whether some endpoint may have run the request.
+        retry: Whether and when the caller should send the request again.
     """
 
     reason: str
@@ -66,18 +66,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class AttemptFailed:
-    """An attempt failed in a way that allows another one.
+    """The result of a failed attempt, which another attempt may follow.
 
     Attributes:
-        reason: Why, for the log.
-        may_have_run: The endpoint may have run the request.
-        sent: It counts as an endpoint that the request was sent to.
-        connection_broken: The connection broke while the endpoint had the
-            request.
-        failed_to_connect: No connection to the endpoint could be opened.
-        failed_endpoint: Endpoint at fault, if the one that was asked says so.
-        head: Whole answer that is delivered if there is no other attempt.
-        body: Its body.
+        reason: Reason of the failure, for the log.
+        may_have_run: Whether the endpoint may have run the request.
+        sent: Whether the attempt counts as sent to an endpoint.
+        connection_broken: Whether the connection broke while the endpoint was
+            handling the request.
+        failed_to_connect: Whether no connection to the endpoint could be
+            opened.
+        failed_endpoint: Endpoint at fault, if the endpoint that received the
+            request reports one.
+        head: Head of the complete answer to deliver if no other attempt
+            follows.
+        body: Body of that answer.
     """
 
     reason: str
@@ -91,7 +94,7 @@
 
     @property
     def cause(self) -> str:
-        """One of a few causes, for statistics."""
+        """The cause of the failure, as counted in the statistics."""
         if self.head is not None:
             return "error"
         if self.connection_broken:
@@ -102,11 +105,12 @@
 
 
 class DeliveryProgress:
-    """What has happened to one request so far.
+    """State of one request over all its attempts.
 
     Attributes:
-        last_event_id: Last event that the caller has, None if none.
-        may_have_run: Some endpoint may have run it.
+        last_event_id: Id of the last event the caller has received, None if
+            there is none.
+        may_have_run: Whether some endpoint may have run the request.
     """
 
     __slots__ = ("last_event_id", "may_have_run")
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -1,4 +1,4 @@
-"""Runs requests of plain services, the non-idempotent ones at most once."""
+"""Runs requests of plain services, non-idempotent ones at most once."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PlainCall:
-    """What is passed through to a plain service."""
+    """The HTTP request that is forwarded to a plain service."""
 
     method: str
     path: str
@@ -50,7 +50,7 @@
     idempotency_key: str = ""
 
     def digest(self) -> str:
-        """Returns the hash that recognises the same call."""
+        """Returns a hash that identifies the call when it is sent again."""
         digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
         content_type = self.headers.get("content-type", "")
         for part in (self.method, self.path, content_type):
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PlainAnswer:
-    """The whole answer of a plain service."""
+    """The complete answer of a plain service."""
 
     status: int
     body: bytes
@@ -69,18 +69,20 @@
 
 
 class DispatchTooLateError(Exception):
-    """A request was not sent, because its time to be sent was over."""
+    """A request was not sent because its dispatch deadline had passed."""
 
 
 class PlainRouter:
     """Runs plain requests.
 
     Attributes:
-        placer: Finds endpoints.
-        client: Calls endpoints.
-        claims: Claims on idempotency keys.
-        invariants: Where violations are reported.
+        placer: Reserves endpoints for requests.
+        client: Sends calls to endpoints.
+        claims: Stores the claims on idempotency keys.
+        member_id: Id of this daemon.
+        invariants: Records violated invariants.
         limits: Admits requests within their teams' limits.
+        completion_checks: Checks the invariants at the end of each request.
     """
 
     __slots__ = (
@@ -116,7 +118,7 @@
     async def run(
         self, request: RoutedRequest, call: PlainCall
     ) -> PlainAnswer | Refusal:
-        """Runs a request to its final answer."""
+        """Runs a request and returns its answer or a refusal."""
         if refused := self.limits.admit(request):
             return refused
         started_at = monotonic_s()
@@ -136,14 +138,14 @@
         if request.idempotent or not call.idempotency_key:
             return await self._run_attempts(request, call, request.deadline_at)
         key_hash = hash_key(request.team, request.service, call.idempotency_key)
-        left_s = request.time_left_s()
+        time_left_s = request.time_left_s()
         match await self.claims.claim(
-            key_hash, call.digest(), time_left_s=left_s
+            key_hash, call.digest(), time_left_s=time_left_s
         ):
             case ClaimAcquired(claim=claim):
                 return await self._run_claimed(request, call, claim)
-            case AlreadyClaimed() as earlier:
-                return self._earlier_outcome(earlier)
+            case AlreadyClaimed() as duplicate:
+                return self._duplicate_outcome(duplicate)
             case ClaimUnavailable(reason=reason):
                 return refusal(
                     ResultCode.STORE_UNAVAILABLE,
@@ -154,10 +156,10 @@
     async def _run_claimed(
         self, request: RoutedRequest, call: PlainCall, claim: Claim
     ) -> PlainAnswer | Refusal:
-        left_s = claim.dispatch_by - self.claims.clock.now_s()
+        time_left_s = claim.dispatch_by - self.claims.clock.now_s()
         try:
             outcome = await self._run_attempts(
-                request, call, monotonic_s() + left_s
+                request, call, monotonic_s() + time_left_s
             )
         except BaseException:
             self._end_claim(request, claim)
@@ -177,40 +179,47 @@
             self.claims.drop(claim)
 
     async def _run_attempts(
-        self, request: RoutedRequest, call: PlainCall, send_before: float
+        self, request: RoutedRequest, call: PlainCall, send_deadline_at: float
     ) -> PlainAnswer | Refusal:
         excluded: set[str] = set()
-        unsent = 0
+        unsent_attempts = 0
         reason = ""
         try:
             async with asyncio.timeout_at(request.deadline_at):
-                while _may_try(request, unsent):
-                    placed = await self._place(request, excluded, send_before)
-                    if isinstance(placed, Refusal):
-                        return placed
+                while _may_attempt(request, unsent_attempts):
+                    placement = await self._place(
+                        request, excluded, send_deadline_at
+                    )
+                    if isinstance(placement, Refusal):
+                        return placement
                     request.attempts += 1
                     try:
                         return await self._attempt(
-                            request, call, placed, send_before
+                            request, call, placement, send_deadline_at
                         )
                     except EndpointFailureError as error:
                         reason = str(error)
-                        excluded.add(placed.endpoint)
+                        excluded.add(placement.endpoint)
                     except DispatchTooLateError:
                         reason = "it was too late to send the request"
-                    unsent += 1
+                    unsent_attempts += 1
                     if not request.dispatched:
-                        request.attempts -= 1  # no endpoint has seen it
+                        request.attempts -= (
+                            1  # no endpoint received the request
+                        )
         except TimeoutError:
             return refusal(ResultCode.DEADLINE_EXCEEDED, ran=_ran(request))
         return refusal(ResultCode.ENDPOINT_FAILED, reason, ran=_ran(request))
 
     async def _place(
-        self, request: RoutedRequest, excluded: set[str], send_before: float
+        self,
+        request: RoutedRequest,
+        excluded: set[str],
+        send_deadline_at: float,
     ) -> HeldReservation | Refusal:
-        if monotonic_s() < send_before:
+        if monotonic_s() < send_deadline_at:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(send_before):
+                async with asyncio.timeout_at(send_deadline_at):
                     return await self.placer.place(request, excluded)
         return refusal(
             ResultCode.QUEUE_FULL, ran=_ran(request), retry_after_s=1
@@ -221,7 +230,7 @@
         request: RoutedRequest,
         call: PlainCall,
         held: HeldReservation,
-        send_before: float,
+        send_deadline_at: float,
     ) -> PlainAnswer:
         spec = self.placer.endpoint_manager.state.endpoints[held.endpoint]
         attempt = Attempt(
@@ -229,13 +238,13 @@
             number=request.attempts,
             member_id=self.member_id,
         )
-        begin = self.placer.reservations.guard(held, attempt)
+        begin_dispatch = self.placer.reservations.guard(held, attempt)
 
         def guard() -> None:
-            if monotonic_s() > send_before:
+            if monotonic_s() > send_deadline_at:
                 raise DispatchTooLateError
-            begin()
-            self._note_dispatch(request)
+            begin_dispatch()
+            self._record_dispatch(request)
 
         succeeded = lost = False
         try:
@@ -250,12 +259,14 @@
             ) as response:
                 body = await response.read()
             succeeded = response.status < 500
-            kept = {
+            forwarded_headers = {
                 name: response.headers[name]
                 for name in FORWARDED_HEADERS
                 if name in response.headers
             }
-            return PlainAnswer(status=response.status, body=body, headers=kept)
+            return PlainAnswer(
+                status=response.status, body=body, headers=forwarded_headers
+            )
         except EndpointFailureError as error:
             lost = error.lost
             raise
@@ -266,7 +277,7 @@
                 )
             )
 
-    def _note_dispatch(self, request: RoutedRequest) -> None:
+    def _record_dispatch(self, request: RoutedRequest) -> None:
         self.invariants.check(
             request.idempotent or not request.dispatched,
             Invariant.AT_MOST_ONCE,
@@ -274,11 +285,11 @@
         )
         request.dispatched = True
 
-    def _earlier_outcome(
-        self, earlier: AlreadyClaimed
+    def _duplicate_outcome(
+        self, duplicate: AlreadyClaimed
     ) -> PlainAnswer | Refusal:
-        claim = earlier.claim
-        if not earlier.same_request:
+        claim = duplicate.claim
+        if not duplicate.same_request:
             return refusal(ResultCode.IDEMPOTENCY_KEY_REUSED)
         if claim.state == ClaimState.DONE:
             return _recorded_outcome(claim)
@@ -289,10 +300,10 @@
         return refusal(ResultCode.OUTCOME_UNKNOWN)
 
 
-def _may_try(request: RoutedRequest, unsent: int) -> bool:
+def _may_attempt(request: RoutedRequest, unsent_attempts: int) -> bool:
     if request.dispatched:
         return request.idempotent and request.attempts < request.max_attempts
-    return unsent < MAX_UNSENT_ATTEMPTS
+    return unsent_attempts < MAX_UNSENT_ATTEMPTS
 
 
 def _recorded_outcome(claim: Claim) -> PlainAnswer | Refusal:
--- a/src/auburnswitch/routing/policy.py
+++ b/src/auburnswitch/routing/policy.py
@@ -1,4 +1,4 @@
-"""Ways to choose the endpoint of a request."""
+"""Policies that choose the endpoint of a request."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class OwnerReservationPolicy:
-    """Asks the owners of endpoints for room, the most promising first."""
+    """Reserves capacity at endpoint owners, the best candidate first."""
 
 
 @dataclass(slots=True, kw_only=True)
 class PowerOfTwoChoicesPolicy:
-    """Takes the better of some random endpoints by their load reports.
+    """Chooses the least loaded of a random sample of endpoints.
 
-    It asks no owner, so no bound on an endpoint's work holds.
+    The policy uses load reports and makes no reservation at the owner, so it
+    doesn't bound the queued and running requests of an endpoint.
 
     Attributes:
-        sample_size: Endpoints that are compared.
+        sample_size: Number of endpoints to compare.
     """
 
     sample_size: int = 2
@@ -33,7 +34,7 @@
 
 
 def make_policy(settings: RoutingSettings) -> PlacementPolicy:
-    """Returns the policy that the settings name."""
+    """Returns the policy selected in the settings."""
     if settings.policy == TWO_CHOICES:
         return PowerOfTwoChoicesPolicy()
     return OwnerReservationPolicy()
--- a/src/auburnswitch/routing/request.py
+++ b/src/auburnswitch/routing/request.py
@@ -1,4 +1,4 @@
-"""A request on its way to an endpoint."""
+"""A caller's request as it is routed to an endpoint."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class RoutedRequest:
-    """A checked request of one team.
+    """A validated request of one team.
 
     Attributes:
-        id: Request id, known to the caller.
-        team: Team that pays for it.
-        team_weight: The team's share of a full fleet.
-        service: Service that runs it.
-        deadline_at: Loop time by which it must end, in seconds.
-        prompt_tokens: Estimated tokens of the prompt.
-        answer_tokens: Most tokens of the answer.
-        length_class: Class of the prompt's length.
+        id: Request id, which the caller also gets.
+        team: Team that the usage is charged to.
+        team_weight: Weight of the team's share of a fleet at capacity.
+        service: Service that runs the request.
+        deadline_at: Loop time by which the request must end, in seconds.
+        prompt_tokens: Estimated number of prompt tokens.
+        answer_tokens: Maximum number of answer tokens.
+        length_class: Length class of the prompt.
         fingerprint: Hash of team and body, for crash strikes.
-        path: Path at the endpoint.
+        path: URL path at the endpoint.
         body: JSON body for the endpoint.
-        idempotent: Whether it may be run again.
-        max_attempts: Attempts allowed.
-        allow_continuation: A broken answer may go on at another endpoint.
-        attempts: Attempts made so far.
-        dispatched: Some byte of it may have reached an endpoint.
+        idempotent: Whether the request may run more than once.
+        max_attempts: Maximum number of attempts.
+        allow_continuation: Whether another endpoint may continue a broken
+            answer.
+        attempts: Number of attempts made so far.
+        dispatched: Whether a byte of the request may have reached an endpoint.
     """
 
     id: str
@@ -58,7 +59,7 @@
 
 
 def compute_fingerprint(team: str, body: bytes) -> str:
-    """Returns the hash that recognises a request sent again."""
+    """Returns a hash that identifies a request when it is sent again."""
     digest = hashlib.blake2b(team.encode() + b"\0", digest_size=12)
     digest.update(body)
     return digest.hexdigest()
--- a/src/auburnswitch/routing/retry_budget.py
+++ b/src/auburnswitch/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""Bounds the retries of one daemon by a share of its requests."""
+"""Limits the retries of one daemon to a share of its requests."""
 
 from __future__ import annotations
 
@@ -10,39 +10,43 @@
     from auburnswitch.schema.settings import RoutingSettings
 
 FLOOR_REFILL_S: Final = 60.0
-MAX_SAVED_REQUESTS: Final = 1000  # whose shares may be saved up
+MAX_BANKED_REQUESTS: Final = 1000  # requests whose unused shares accumulate
 
 
 class RetryBudget:
-    """Retries that may still be made.
+    """Token bucket of the retries that may be made.
 
-    Each admitted request adds its share. The floor refills with time, so that
-    a daemon with few requests can retry them too.
+    Each admitted request adds a share of a retry. Below the floor the bucket
+    also refills with time, so that a daemon with few requests can retry them
+    too.
 
     Attributes:
-        available_retries: Retries left, with fractions.
+        available_retries: Retries available, as a fractional number.
+        refilled_at: Loop time up to which the floor has been refilled, in
+            seconds.
+        settings: Settings of the floor and of the share per request.
     """
 
-    __slots__ = ("available_retries", "filled_at", "settings")
+    __slots__ = ("available_retries", "refilled_at", "settings")
 
     def __init__(self, *, settings: RoutingSettings) -> None:
         self.settings = settings
         self.available_retries = float(settings.retry_budget_floor)
-        self.filled_at = monotonic_s()
+        self.refilled_at = monotonic_s()
 
-    def note_admitted(self) -> None:
-        """Adds the share of one request."""
+    def record_admission(self) -> None:
+        """Adds the share of one admitted request."""
         self._add(self.settings.retry_budget_share)
 
     def try_acquire(self) -> bool:
-        """Takes one retry; returns whether there was one."""
+        """Consumes one retry and returns True, or False if none is left."""
         now = monotonic_s()
-        passed = (now - self.filled_at) / FLOOR_REFILL_S
-        self.filled_at = now
+        refill_periods = (now - self.refilled_at) / FLOOR_REFILL_S
+        self.refilled_at = now
         floor = self.settings.retry_budget_floor
         if self.available_retries < floor:
-            missing = floor - self.available_retries
-            self._add(min(missing, passed * floor))
+            shortfall = floor - self.available_retries
+            self._add(min(shortfall, refill_periods * floor))
         if self.available_retries < 1:
             return False
         self.available_retries -= 1
@@ -50,9 +54,9 @@
 
     def _add(self, retries: float) -> None:
         settings = self.settings
-        saved = MAX_SAVED_REQUESTS * settings.retry_budget_share
-        most = settings.retry_budget_floor + saved
-        self.available_retries = min(most, self.available_retries + retries)
+        max_banked_retries = MAX_BANKED_REQUESTS * settings.retry_budget_share
+        capacity = settings.retry_budget_floor + max_banked_retries
+        self.available_retries = min(capacity, self.available_retries + retries)
 
 
 __all__ = ["RetryBudget"]
--- a/src/auburnswitch/routing/send_rate_limiter.py
+++ b/src/auburnswitch/routing/send_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Limits how many requests in a second one endpoint gets."""
+"""Limits the requests per second sent to one endpoint."""
 
 from __future__ import annotations
 
@@ -13,66 +13,67 @@
     from auburnswitch.schema.entry import BoundSettings
     from auburnswitch.schema.installation import Service
 
-WINDOW_S: Final = 1.1  # a second, and how much later one request may arrive
+WINDOW_S: Final = 1.1  # one second plus the arrival delay of a request
 FLEET_RATE_FRACTION: Final = (
-    0.6  # of the fleet's rate, as news of others is late
+    0.6  # of the fleet's rate, since sends of others are reported late
 )
 UNSEEN_DAEMON_ALLOWANCE: Final = (
-    3  # that may be started before this one knows of them
+    3  # daemons started but not yet known to this one
 )
 
 
 class SendRateLimiter:
-    """Keeps endpoints that may be cold under the rate they tolerate.
+    """Keeps the request rate of endpoints below what a cold one tolerates.
 
-    An endpoint may turn cold without a sign, so the limit holds for all
-    endpoints of a service with a cold rate. The rate is shared out equally by
-    all daemons there can be; besides, no daemon sends more to an endpoint for
-    which it knows that all together have come close to the rate.
+    An endpoint may become cold without notice, so the limit applies to all
+    endpoints of a service with a cold rate. Each daemon gets an equal share of
+    the rate, with an allowance for daemons that are not known yet. In addition,
+    a daemon sends nothing more to an endpoint once the known sends of all
+    daemons together come close to the rate.
 
     Attributes:
-        bounds: How far over its stated rate a cold endpoint may get.
-        count_daemons: Returns how many daemons are known.
+        bounds: Allowed excess over the configured cold rate.
+        count_daemons: Returns the number of known daemons.
     """
 
-    __slots__ = ("_by_all", "_sent", "bounds", "count_daemons")
+    __slots__ = ("_fleet_sends", "_local_sends", "bounds", "count_daemons")
 
     def __init__(
         self, *, bounds: BoundSettings, count_daemons: Callable[[], int]
     ) -> None:
         self.bounds = bounds
         self.count_daemons = count_daemons
-        self._sent: defaultdict[str, deque[float]] = defaultdict(deque)
-        self._by_all: defaultdict[str, deque[float]] = defaultdict(deque)
+        self._local_sends: defaultdict[str, deque[float]] = defaultdict(deque)
+        self._fleet_sends: defaultdict[str, deque[float]] = defaultdict(deque)
 
     def allows(self, service: Service, endpoint: str) -> bool:
-        """Whether one more request may be sent now."""
+        """Returns whether one more request may be sent to an endpoint now."""
         if service.cold_requests_per_s <= 0:
             return True
-        fleet = (
+        fleet_rate_per_s = (
             service.cold_requests_per_s * self.bounds.cold_ratio
             + self.bounds.cold_extra
         )
         daemons = self.count_daemons() + UNSEEN_DAEMON_ALLOWANCE
-        own = _count(self._sent[endpoint])
-        by_all = _count(self._by_all[endpoint])
-        return own + 1 <= max(1, int(fleet / daemons)) and (
-            by_all + 1 <= fleet * FLEET_RATE_FRACTION
+        local_sends = _count_recent(self._local_sends[endpoint])
+        fleet_sends = _count_recent(self._fleet_sends[endpoint])
+        return local_sends + 1 <= max(1, int(fleet_rate_per_s / daemons)) and (
+            fleet_sends + 1 <= fleet_rate_per_s * FLEET_RATE_FRACTION
         )
 
     def record_send(self, endpoint: str) -> None:
-        """Counts a request that this daemon sends."""
-        self._sent[endpoint].append(monotonic_s())
+        """Records a request that this daemon sends."""
+        self._local_sends[endpoint].append(monotonic_s())
         self.record_fleet_send(endpoint)
 
     def record_fleet_send(self, endpoint: str) -> None:
-        """Counts a request that some daemon sends."""
-        self._by_all[endpoint].append(monotonic_s())
+        """Records a request that any daemon of the fleet sends."""
+        self._fleet_sends[endpoint].append(monotonic_s())
 
 
-def _count(times: deque[float]) -> int:
-    since = monotonic_s() - WINDOW_S
-    while times and times[0] < since:
+def _count_recent(times: deque[float]) -> int:
+    window_start = monotonic_s() - WINDOW_S
+    while times and times[0] < window_start:
         times.popleft()
     return len(times)
 
--- a/src/auburnswitch/routing/sse_events.py
+++ b/src/auburnswitch/routing/sse_events.py
@@ -1,4 +1,4 @@
-"""Splits a stream into whole events and keeps their order."""
+"""Splits a stream into server-sent events and compares their ids."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class SseEventSplitter:
-    """Cuts bytes into whole events.
+    """Splits a byte stream into complete events.
 
     Attributes:
-        buffer: Bytes of an event that is not whole yet.
+        buffer: Bytes of the last, still incomplete event.
     """
 
     __slots__ = ("buffer",)
@@ -22,7 +22,7 @@
         self.buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the events that are whole now, each with its end."""
+        """Returns the events that data completes, each with its terminator."""
         self.buffer += data
         events = []
         start = 0
@@ -34,20 +34,24 @@
 
 
 def parse_event_id(event: bytes) -> str | None:
-    """Returns the id of an event, None if it has none."""
+    """Returns the id of an event, or None if the event has none."""
     found = _EVENT_ID.search(event)
     return found[1].decode("latin-1").strip() if found else None
 
 
 def is_newer_event(event: bytes, last_id: str | None) -> bool:
-    """Whether an event follows the last one that the caller has."""
-    current = parse_event_id(event)
-    if current is None or last_id is None:
+    """Returns whether an event is newer than the last one delivered.
+
+    Numeric ids are compared as numbers; other ids only for equality. An
+    event without an id counts as newer.
+    """
+    event_id = parse_event_id(event)
+    if event_id is None or last_id is None:
         return True
     try:
-        return int(current) > int(last_id)
+        return int(event_id) > int(last_id)
     except ValueError:
-        return current != last_id
+        return event_id != last_id
 
 
 __all__ = ["SseEventSplitter", "parse_event_id", "is_newer_event"]
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -1,4 +1,4 @@
-"""Relays a stream of events from an endpoint to a caller."""
+"""Relays a stream of server-sent events from an endpoint to a caller."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
     """Relays the events of one attempt.
 
     Attributes:
-        selector: Is told when the prompt has been read.
-        statistics: Counts the time to the first event.
+        selector: Tracks the load of endpoints; updated after prefill.
+        statistics: Records the time to the first event.
         job: The request.
-        placement: Where it was sent.
-        writer: Writes to the caller.
-        progress: What the caller has so far.
-        timer: Ends the attempt when the endpoint is silent.
-        timeouts: How long it may be silent.
-        splitter: Holds the part of an event that has come.
+        placement: The endpoint chosen for the request.
+        writer: Writes the answer to the caller.
+        progress: State of the request over all attempts.
+        timer: Aborts the attempt when the endpoint is silent for too long.
+        timeouts: Maximum silence of the endpoint.
+        splitter: Splits the response into events.
     """
 
     __slots__ = (
@@ -79,7 +79,7 @@
         self.splitter = SseEventSplitter()
 
     async def run(self, answer: ResponseHead) -> Delivered | AttemptFailed:
-        """Relays until the stream ends or breaks."""
+        """Relays events until the stream ends or breaks."""
         while True:
             data = await answer.read_chunk()
             if isinstance(data, BrokenResponse):
@@ -92,28 +92,34 @@
                 break
             events = self.splitter.feed(data)
             if events:
-                await self._pass_on(answer, events)
+                await self._forward_events(answer, events)
         await self._start(answer)
         if self.splitter.buffer:
             await self.writer.write(self.splitter.buffer)
         await self.writer.finish()
         return Delivered(status=answer.status)
 
-    async def _pass_on(self, answer: ResponseHead, events: list[bytes]) -> None:
+    async def _forward_events(
+        self, answer: ResponseHead, events: list[bytes]
+    ) -> None:
         gap_s = self.timeouts.gap_timeout_s()
-        when = None if gap_s is None else monotonic_s() + gap_s
-        self.timer.reschedule(when)
+        silent_at = None if gap_s is None else monotonic_s() + gap_s
+        self.timer.reschedule(silent_at)
         if not self.placement.item.writing:
-            self._note_read()
-        last_id = self.progress.last_event_id
-        new = [event for event in events if is_newer_event(event, last_id)]
-        if not new:
+            self._record_first_event()
+        last_event_id = self.progress.last_event_id
+        newer_events = [
+            event for event in events if is_newer_event(event, last_event_id)
+        ]
+        if not newer_events:
             return
         await self._start(answer)
-        await self.writer.write(b"".join(new))
-        self.progress.last_event_id = parse_event_id(new[-1]) or last_id
+        await self.writer.write(b"".join(newer_events))
+        self.progress.last_event_id = (
+            parse_event_id(newer_events[-1]) or last_event_id
+        )
 
-    def _note_read(self) -> None:
+    def _record_first_event(self) -> None:
         self.selector.note_prefilled(self.placement)
         after_s = monotonic_s() - self.job.arrived_at
         tokens = self.job.request.prompt_tokens
--- a/src/auburnswitch/routing/strike_registry.py
+++ b/src/auburnswitch/routing/strike_registry.py
@@ -1,4 +1,4 @@
-"""Remembers which requests were in flight when an endpoint crashed."""
+"""Records which requests were in flight when an endpoint crashed."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 STRIKES_TO_REFUSE: Final = 2
 MAX_FINGERPRINTS: Final = 10_000
-MAX_STRIKES_PER_HEARTBEAT: Final = 200  # strikes in one heartbeat
-ANNOUNCE_DURATION_S: Final = 3.0  # time for which a peer is told again
+MAX_STRIKES_PER_HEARTBEAT: Final = 200
+ANNOUNCE_DURATION_S: Final = 3.0  # time that a strike is repeated to a peer
 
-CrashId = tuple[str, str]  # endpoint and its start
+CrashId = tuple[str, str]  # endpoint, boot id
 StrikeNotice = tuple[
     str, CrashId, bool
-]  # fingerprint, crash, whether it is cleared
+]  # fingerprint, crash, whether the strike is cleared
 
 
 class StrikeRegistry:
-    """The strikes of each request by its fingerprint.
+    """Holds the strikes of each request by its fingerprint.
 
-    One crash gives one strike, whoever reports it. A request that has run to
-    its end since is cleared of its strikes: many callers may send the same
-    request, and one of them was in flight when another request crashed the
-    endpoint.
+    One crash adds one strike, however many daemons report it. A request that
+    later completes is cleared of its strikes: many callers may send the same
+    request, and one copy may have been in flight when a different request
+    crashed the endpoint.
 
     Attributes:
-        retention_s: Time that a strike is remembered, in seconds.
+        retention_s: Time that a strike is kept, in seconds.
         struck_at: Loop time of each strike in seconds, by crash, by
             fingerprint.
-        cleared: Crashes that no longer count, by fingerprint.
-        announced_at: Loop time at which each peer was first told of each
-            strike, in seconds.
+        cleared: Crashes whose strikes no longer count, by fingerprint.
+        announced_at: Loop time at which each strike was first announced to
+            each peer, in seconds.
     """
 
     __slots__ = ("announced_at", "cleared", "retention_s", "struck_at")
@@ -51,7 +51,7 @@
     def add(
         self, fingerprint: str, endpoint: str, boot_id: str, age_s: float = 0.0
     ) -> bool:
-        """Adds a strike; returns whether it is new."""
+        """Adds a strike and returns whether it is new."""
         crashes = self.struck_at.setdefault(fingerprint, {})
         if (endpoint, boot_id) in crashes or age_s > self.retention_s:
             return False
@@ -69,12 +69,12 @@
         return True
 
     def clear(self, fingerprint: str) -> None:
-        """Clears a request that has run to its end of its strikes."""
+        """Clears the strikes of a request that has completed."""
         if crashes := self.struck_at.get(fingerprint):
             self.cleared.setdefault(fingerprint, set()).update(crashes)
 
     def count(self, fingerprint: str) -> int:
-        """Returns the strikes of a request that still count."""
+        """Returns the number of strikes of a request that still count."""
         self._expire(fingerprint)
         crashes = self.struck_at.get(fingerprint, {})
         cleared = self.cleared.get(fingerprint, set())
@@ -92,34 +92,34 @@
             self.cleared.pop(fingerprint, None)
 
     def is_struck(self, fingerprint: str) -> bool:
-        """Tells whether a request was in flight at a crash."""
+        """Returns whether a request has a strike that counts."""
         return self.count(fingerprint) > 0
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Tells whether a request must not run again."""
+        """Returns whether a request must not run again."""
         return self.count(fingerprint) >= STRIKES_TO_REFUSE
 
     def fill_heartbeat(self, heartbeat: Heartbeat, peer_id: str) -> None:
-        """Adds the strikes that a peer has not been told of for long."""
+        """Adds the strikes that are still to be announced to a peer."""
         now = monotonic_s()
-        told = self.announced_at.setdefault(peer_id, {})
+        announced = self.announced_at.setdefault(peer_id, {})
         for fingerprint in list(self.struck_at):
             self._expire(fingerprint)
-        known = {
+        current_notices = {
             (fingerprint, crash, crash in self.cleared.get(fingerprint, ()))
             for fingerprint, crashes in self.struck_at.items()
             for crash in crashes
         }
-        for key in told.keys() - known:
-            del told[key]
-        for key in sorted(known):
+        for notice in announced.keys() - current_notices:
+            del announced[notice]
+        for notice in sorted(current_notices):
             if len(heartbeat.strikes) >= MAX_STRIKES_PER_HEARTBEAT:
                 return
-            if now - told.setdefault(key, now) <= ANNOUNCE_DURATION_S:
-                heartbeat.strikes.append(self._strike(*key))
+            if now - announced.setdefault(notice, now) <= ANNOUNCE_DURATION_S:
+                heartbeat.strikes.append(self._make_strike(*notice))
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Takes a peer's strikes."""
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Merges the strikes in a peer's heartbeat."""
         for strike in heartbeat.strikes:
             self.add(
                 strike.fingerprint,
@@ -128,11 +128,11 @@
                 max(0.0, strike.age_s),
             )
             crash = (strike.endpoint, strike.boot_id)
-            known = self.struck_at.get(strike.fingerprint, {})
-            if strike.cleared and crash in known:
+            recorded = self.struck_at.get(strike.fingerprint, {})
+            if strike.cleared and crash in recorded:
                 self.cleared.setdefault(strike.fingerprint, set()).add(crash)
 
-    def _strike(
+    def _make_strike(
         self, fingerprint: str, crash: CrashId, cleared: bool
     ) -> Strike:
         endpoint, boot_id = crash
--- a/src/auburnswitch/routing/team_limits.py
+++ b/src/auburnswitch/routing/team_limits.py
@@ -1,4 +1,4 @@
-"""Enforces the limits of teams over all daemons."""
+"""Enforces team limits across all daemons."""
 
 from __future__ import annotations
 
@@ -22,30 +22,31 @@
 
 
 class TeamMeter:
-    """What one team uses, as this daemon knows it.
+    """Usage of one team as known to this daemon.
 
-    The level is that of a token bucket for the whole fleet: it falls by what
-    this daemon admits at once and by what peers admit with their heartbeats,
-    and may become negative, so that what was admitted too much is repaid.
+    ``available_tokens`` is the level of a token bucket for the whole fleet.
+    Admissions of this daemon are subtracted immediately, those of peers when
+    their heartbeats arrive. The level may become negative, so that excess
+    admissions are repaid by later refills.
 
     Attributes:
-        available_tokens: Tokens that may be used now.
-        filled_at: Loop time up to which the level has been filled, in seconds.
-        in_flight: Requests of the team that run through this daemon.
-        admitted: Tokens that this daemon has ever admitted.
-        peer_in_flight: Requests in flight at each peer.
-        interval: Number of the heartbeat interval of the counts below.
+        available_tokens: Tokens available in the bucket.
+        refilled_at: Loop time of the last refill, in seconds.
+        in_flight: Requests of the team in flight at this daemon.
+        admitted: Total tokens that this daemon has admitted since its start.
+        peer_in_flight: Requests of the team in flight, by peer id.
+        interval: Number of the heartbeat interval that the fields below
+            describe.
         interval_tokens: Tokens admitted in the interval.
         interval_requests: Requests admitted in the interval.
-        interval_start_tokens: Level at the begin of the interval.
-        interval_start_headroom: Requests in flight short of the limit at its
-            begin.
+        interval_start_tokens: Available tokens at the start of the interval.
+        interval_start_headroom: Further requests that could be in flight at
+            the start of the interval.
     """
 
     __slots__ = (
         "admitted",
         "available_tokens",
-        "filled_at",
         "in_flight",
         "interval",
         "interval_requests",
@@ -53,11 +54,12 @@
         "interval_start_tokens",
         "interval_tokens",
         "peer_in_flight",
+        "refilled_at",
     )
 
     def __init__(self, *, spec: Team) -> None:
         self.available_tokens = bucket_capacity(spec)
-        self.filled_at = monotonic_s()
+        self.refilled_at = monotonic_s()
         self.in_flight = 0
         self.admitted = 0
         self.peer_in_flight: dict[str, int] = {}
@@ -67,16 +69,18 @@
         self.interval_start_tokens = 0.0
         self.interval_start_headroom = 0
 
-    def start_interval(self, spec: Team, interval: int, live: set[str]) -> None:
-        """Fills the bucket and begins a new interval if it is time."""
+    def start_interval(
+        self, spec: Team, interval: int, live_ids: set[str]
+    ) -> None:
+        """Refills the bucket and starts a new interval when one is due."""
         now = monotonic_s()
-        filled = (
+        refilled_tokens = (
             self.available_tokens
-            + (now - self.filled_at) * spec.tokens_per_second
+            + (now - self.refilled_at) * spec.tokens_per_second
         )
-        self.available_tokens = min(bucket_capacity(spec), filled)
-        self.filled_at = now
-        for peer_id in self.peer_in_flight.keys() - live:
+        self.available_tokens = min(bucket_capacity(spec), refilled_tokens)
+        self.refilled_at = now
+        for peer_id in self.peer_in_flight.keys() - live_ids:
             del self.peer_in_flight[peer_id]
         if interval != self.interval:
             self.interval = interval
@@ -89,11 +93,11 @@
 
     @property
     def total_in_flight(self) -> int:
-        """Requests of the team that run through all daemons."""
+        """Requests of the team in flight at all daemons."""
         return self.in_flight + sum(self.peer_in_flight.values())
 
     def record_admission(self, tokens: int) -> None:
-        """Counts an admitted request."""
+        """Records an admitted request."""
         self.available_tokens -= tokens
         self.admitted += tokens
         self.in_flight += 1
@@ -104,15 +108,19 @@
 class TeamLimits:
     """Admits requests within their teams' limits.
 
-    In one heartbeat interval a daemon admits its share of what was left at
-    the interval's begin, or one request, since the others may do the same
-    unseen. So all daemons together pass a limit by at most one request for
-    each other daemon, and what they pass in tokens is repaid.
+    In one heartbeat interval a daemon admits at most its share of the capacity
+    available at the start of the interval, but always at least one request,
+    because the other daemons may do the same before their heartbeats arrive.
+    All daemons together therefore exceed a limit by at most one request for
+    each other daemon, and excess tokens are repaid.
 
     Attributes:
+        state: The configuration, which holds the limits of each team.
+        view: The members known to this daemon.
+        interval_s: Interval between heartbeats, in seconds.
         meters: Usage by team.
-        reported_usage: Tokens of each team that each peer knows of, with the
-            loop time of the last heartbeat in seconds.
+        reported_usage: Loop time in seconds of the last heartbeat sent to each
+            peer, and the admitted tokens of each team reported by then.
         heard_at: Loop time of each peer's last heartbeat, in seconds.
     """
 
@@ -136,50 +144,54 @@
         self.heard_at: dict[str, float] = {}
 
     def admit(self, request: RoutedRequest) -> Refusal | None:
-        """Counts a request, or returns why its team may not run it now."""
+        """Admits and records a request, or returns the refusal."""
         spec = self.state.teams.get(request.team)
         if spec is None:
             return refusal(ResultCode.BAD_CALLER_KEY)
         meter = self._meter(request.team, spec)
-        live = set(self.view.live_ids())
-        meter.start_interval(spec, int(monotonic_s() // self.interval_s), live)
+        live_ids = set(self.view.live_ids())
+        meter.start_interval(
+            spec, int(monotonic_s() // self.interval_s), live_ids
+        )
         tokens = request.prompt_tokens + request.answer_tokens
-        if refused := _refuse(spec, meter, tokens, len(live)):
+        if refused := _check_limits(spec, meter, tokens, len(live_ids)):
             return refused
         meter.record_admission(tokens)
         return None
 
     def finish(self, request: RoutedRequest) -> None:
-        """Takes note that an admitted request has ended."""
+        """Records the end of an admitted request."""
         meter = self.meters.get(request.team)
         if meter is not None:
             meter.in_flight -= 1
 
     def fill_heartbeat(self, heartbeat: Heartbeat, peer_id: str) -> None:
-        """Adds what the teams have used since the last heartbeat."""
+        """Adds the usage of each team since the last heartbeat to a peer."""
         now = monotonic_s()
-        told_at, told = self.reported_usage.get(peer_id, (now, {}))
-        passed_s = max(1e-3, now - told_at)
+        reported_at, reported_tokens = self.reported_usage.get(
+            peer_id, (now, {})
+        )
+        elapsed_s = max(1e-3, now - reported_at)
         for team, meter in self.meters.items():
-            tokens = meter.admitted - told.get(team, 0)
+            tokens = meter.admitted - reported_tokens.get(team, 0)
             if tokens or meter.in_flight:
                 heartbeat.usage.append(
                     TeamUsage(
                         team=team,
-                        tokens_per_second=tokens / passed_s,
+                        tokens_per_second=tokens / elapsed_s,
                         tokens=tokens,
                         in_flight=meter.in_flight,
                     )
                 )
         admitted = {name: m.admitted for name, m in self.meters.items()}
         self.reported_usage[peer_id] = (now, admitted)
-        for gone in (
+        for removed_peer in (
             self.reported_usage.keys() - self.view.peers.keys() - {peer_id}
         ):
-            del self.reported_usage[gone]
+            del self.reported_usage[removed_peer]
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Takes what a peer's teams have used."""
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Merges the team usage in a peer's heartbeat."""
         peer_id = heartbeat.sender.id
         for meter in self.meters.values():
             meter.peer_in_flight.pop(peer_id, None)
@@ -199,30 +211,33 @@
 
 
 def bucket_capacity(spec: Team) -> float:
-    """Returns the size of a team's bucket: its burst, or one second."""
+    """Returns the bucket size in tokens: the burst or one second's rate.
+
+    The larger of the two applies.
+    """
     return max(spec.burst_tokens, spec.tokens_per_second)
 
 
-def _refuse(
-    spec: Team, meter: TeamMeter, tokens: int, daemons: int
+def _check_limits(
+    spec: Team, meter: TeamMeter, tokens: int, live_daemons: int
 ) -> Refusal | None:
     if spec.max_in_flight:
-        share = max(1, math.ceil(meter.interval_start_headroom / daemons))
-        full = meter.total_in_flight >= spec.max_in_flight
-        if full or meter.interval_requests >= share:
-            return _refusal(TEAM_LIMIT_RETRY_AFTER_S)
+        share = max(1, math.ceil(meter.interval_start_headroom / live_daemons))
+        is_full = meter.total_in_flight >= spec.max_in_flight
+        if is_full or meter.interval_requests >= share:
+            return _limit_refusal(TEAM_LIMIT_RETRY_AFTER_S)
     if spec.tokens_per_second:
         needed = min(float(tokens), bucket_capacity(spec))
         if meter.available_tokens < needed:
             wait_s = (needed - meter.available_tokens) / spec.tokens_per_second
-            return _refusal(min(MAX_RETRY_AFTER_S, wait_s))
+            return _limit_refusal(min(MAX_RETRY_AFTER_S, wait_s))
         used = meter.interval_tokens
-        if used and used + tokens > meter.interval_start_tokens / daemons:
-            return _refusal(TEAM_LIMIT_RETRY_AFTER_S)
+        if used and used + tokens > meter.interval_start_tokens / live_daemons:
+            return _limit_refusal(TEAM_LIMIT_RETRY_AFTER_S)
     return None
 
 
-def _refusal(retry_after_s: float) -> Refusal:
+def _limit_refusal(retry_after_s: float) -> Refusal:
     return refusal(ResultCode.TEAM_LIMIT, retry_after_s=retry_after_s)
 
 
--- a/src/auburnswitch/routing/windowed_retry_budget.py
+++ b/src/auburnswitch/routing/windowed_retry_budget.py
@@ -1,4 +1,4 @@
-"""Limits retries in a sliding window, over all daemons together."""
+"""Limits the retries of all daemons together in a sliding window."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
     from auburnswitch.schema.entry import BoundSettings
 
-SAFETY_FACTOR: Final = 0.7  # of the fleet's retries, as windows differ
+SAFETY_FACTOR: Final = 0.7  # of the fleet's retries, since windows differ
 
 
 class _Window:
-    """Times of a service's requests and retries."""
+    """Loop times of a service's requests and retries, in seconds."""
 
     __slots__ = ("requests", "retries")
 
@@ -24,23 +24,24 @@
         self.requests: deque[float] = deque()
         self.retries: deque[float] = deque()
 
-    def forget_before(self, time_s: float) -> None:
-        """Drops what lies before a time."""
+    def discard_before(self, time_s: float) -> None:
+        """Discards all entries before a loop time in seconds."""
         for times in (self.requests, self.retries):
             while times and times[0] < time_s:
                 times.popleft()
 
 
 class WindowedRetryBudget:
-    """Gives out this daemon's part of the fleet's retries.
+    """Grants this daemon's share of the fleet's retries.
 
-    The extra retries are shared out by the daemons that are known, whether
-    they answer at the moment or not, so that the parts of a fleet that cannot
-    reach each other do not spend them twice.
+    The extra retries are divided among all known daemons, including those that
+    are unreachable at the moment, so that the sides of a network partition
+    don't spend them twice.
 
     Attributes:
-        bounds: Ratio, extra and length of the window.
-        count_daemons: Returns how many daemons share the extra.
+        bounds: Retry ratio, extra retries and window length.
+        count_daemons: Returns the number of daemons that share the extra
+            retries.
     """
 
     __slots__ = ("_windows", "bounds", "count_daemons")
@@ -52,12 +53,12 @@
         self.count_daemons = count_daemons
         self._windows: defaultdict[str, _Window] = defaultdict(_Window)
 
-    def note_request(self, service: str) -> None:
-        """Counts a request of a caller."""
+    def record_request(self, service: str) -> None:
+        """Records a request of a caller."""
         self._window(service).requests.append(monotonic_s())
 
     def try_acquire(self, service: str) -> bool:
-        """Takes one retry, False if none is left."""
+        """Consumes one retry and returns True, or False if none is left."""
         window = self._window(service)
         extra = self.bounds.retry_extra / max(1, self.count_daemons())
         ratio = self.bounds.retry_ratio * len(window.requests)
@@ -68,7 +69,7 @@
 
     def _window(self, service: str) -> _Window:
         window = self._windows[service]
-        window.forget_before(monotonic_s() - self.bounds.retry_window_s)
+        window.discard_before(monotonic_s() - self.bounds.retry_window_s)
         return window
 
 
--- a/tests/routing/plain_support.py
+++ b/tests/routing/plain_support.py
@@ -1,4 +1,4 @@
-"""Runs plain routers against a platform and a service in virtual time."""
+"""Test bench that runs plain routers against stand-ins in virtual time."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from tests.virtual_time import SimulatedConnector
 
 
-class OneEndpoint:
-    """Places every request on the one endpoint."""
+class SingleEndpointPlacer:
+    """Places every request on a single endpoint."""
 
     def __init__(self, spec: Endpoint) -> None:
         state = SimpleNamespace(endpoints={"e": spec})
@@ -66,7 +66,7 @@
 
 
 class PatchableClaims(ClaimStore):
-    """Claims whose methods tests may replace."""
+    """A claim store without slots, so that tests can replace its methods."""
 
 
 class NoLimits:
@@ -80,14 +80,15 @@
 
 
 class CountingService:
-    """Counts what it runs, and drops connections after some runs.
+    """Records the requests it runs and can drop connections after a run.
 
     Attributes:
         runs: Method and path of each run.
         run_ids: Request id of each run.
-        drop_next: Runs, from now on, whose connection is broken.
-        delay_s: Time that a run takes.
-        body: What it answers.
+        drop_next: Number of following runs whose connection is dropped.
+        delay_s: Duration of a run, in seconds.
+        body: Text of the answer.
+        listener: Listener of the service, set once it is open.
     """
 
     def __init__(self) -> None:
@@ -114,11 +115,14 @@
 
 
 class PlainBench:
-    """A platform, a service and any number of routers.
+    """A platform, a service and any number of routers under test.
 
     Attributes:
         platform: The platform stand-in.
-        service: The service.
+        service: The service that the routers call.
+        routers: The routers added so far.
+        stack: Closes the resources of the routers.
+        requests: Number of requests sent so far.
     """
 
     def __init__(self, platform: PlatformStandIn, service: CountingService):
@@ -145,7 +149,7 @@
         listener = self.service.listener
         spec = Endpoint(service="s", host="127.0.0.1", port=listener.port)
         router = PlainRouter(
-            placer=OneEndpoint(spec),
+            placer=SingleEndpointPlacer(spec),
             client=EndpointClient(
                 session=session, settings=EndpointsSettings()
             ),
@@ -168,7 +172,7 @@
         deadline_s: float = 10,
         idempotent: bool = False,
     ):
-        """Runs one request to its outcome."""
+        """Runs one request and returns its answer or refusal."""
         self.requests += 1
         request = RoutedRequest(
             id=f"r{self.requests}",
@@ -192,7 +196,7 @@
 
 @contextlib.asynccontextmanager
 async def open_bench(routers: int = 1, **settings: Any):
-    """Opens a bench with some routers."""
+    """Opens a bench with the given number of routers."""
     service = CountingService()
     async with (
         open_platform() as platform,
@@ -206,4 +210,9 @@
             yield bench
 
 
-__all__ = ["CountingService", "OneEndpoint", "PlainBench", "open_bench"]
+__all__ = [
+    "CountingService",
+    "SingleEndpointPlacer",
+    "PlainBench",
+    "open_bench",
+]
--- a/tests/routing/test_answer_stream.py
+++ b/tests/routing/test_answer_stream.py
@@ -1,4 +1,4 @@
-"""Tests of answers whose frames arrive late, crossed or incomplete."""
+"""Tests of answers with late, misrouted or missing frames."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 PATH = "/v1/completions"
 
 
-def frame(sequence, text, *, request_id="r1", attempt=2, end=False):
+def encode_frame(sequence, text, *, request_id="r1", attempt=2, end=False):
     choice = {"index": 0, "text": text, "finish_reason": "stop" * end or None}
     values = {"id": request_id, "attempt": attempt, "sequence": sequence}
     usage = {"prompt_tokens": 1, "completion_tokens": sequence + 1}
@@ -35,8 +35,8 @@
     return f"data: {json.dumps(values)}\n\n"
 
 
-async def read(frames):
-    """Returns the text and the end that a caller gets of some frames."""
+async def read_answer(frames):
+    """Returns the text and the last part of the answer read from frames."""
     body = "".join(frames) + "data: [DONE]\n\n"
 
     async def answer(_):
@@ -76,27 +76,30 @@
         return "".join(texts), parts[-1]
 
 
-class CrossedFramesTest(unittest.TestCase):
-    def test_late_and_foreign_frames_are_dropped(self):
+class MisroutedFramesTest(unittest.TestCase):
+    def test_late_and_misrouted_frames_are_dropped(self):
         frames = [
-            frame(0, "a"),
-            frame(1, "X", request_id="r9"),
-            frame(1, "X", attempt=1),
-            frame(0, "a"),
-            frame(1, "b"),
-            frame(1, "b"),
-            frame(2, "c", end=True),
+            encode_frame(0, "a"),
+            encode_frame(1, "X", request_id="r9"),
+            encode_frame(1, "X", attempt=1),
+            encode_frame(0, "a"),
+            encode_frame(1, "b"),
+            encode_frame(1, "b"),
+            encode_frame(2, "c", end=True),
         ]
-        text, end = run_virtual(lambda: read(frames))
+        text, end = run_virtual(lambda: read_answer(frames))
         self.assertEqual(text, "abc")
         self.assertEqual(end.usage["completion_tokens"], 3)
 
-    def test_missing_frame_is_no_whole_answer(self):
-        frames = [frame(0, "a"), frame(2, "c", end=True)]
+    def test_missing_frame_fails_the_attempt(self):
+        frames = [encode_frame(0, "a"), encode_frame(2, "c", end=True)]
         with self.assertRaises(EndpointFailureError):
-            run_virtual(lambda: read(frames))
+            run_virtual(lambda: read_answer(frames))
 
-    def test_foreign_end_does_not_end_the_answer(self):
-        frames = [frame(0, "a"), frame(1, "X", attempt=1, end=True)]
+    def test_misrouted_end_frame_does_not_end_the_answer(self):
+        frames = [
+            encode_frame(0, "a"),
+            encode_frame(1, "X", attempt=1, end=True),
+        ]
         with self.assertRaises(EndpointFailureError):
-            run_virtual(lambda: read(frames))
+            run_virtual(lambda: read_answer(frames))
--- a/tests/routing/test_completion_checks.py
+++ b/tests/routing/test_completion_checks.py
@@ -1,4 +1,4 @@
-"""Tests of the invariants at the end of a request."""
+"""Tests of the invariants checked at the end of a request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.virtual_time import run_virtual
 
 
-def routed(**values):
+def make_request(**values):
     return RoutedRequest(
         id="r1",
         team="t",
@@ -34,15 +34,15 @@
     )
 
 
-class EndChecksTest(unittest.TestCase):
-    def violated(self, check):
-        """Returns the invariants that a check finds broken."""
+class CompletionChecksTest(unittest.TestCase):
+    def violations_of(self, check):
+        """Returns the invariants that a check reports as violated."""
 
         async def scenario():
-            table = make_endpoint_manager()
-            table.invariants.strict = False
-            await check(CompletionChecks(endpoint_manager=table))
-            return set(table.invariants.violations)
+            endpoint_manager = make_endpoint_manager()
+            endpoint_manager.invariants.strict = False
+            await check(CompletionChecks(endpoint_manager=endpoint_manager))
+            return set(endpoint_manager.invariants.violations)
 
         return run_virtual(scenario)
 
@@ -52,44 +52,46 @@
             (False, set()),
         ):
 
-            async def check(ends, dispatched=dispatched):
+            async def check(checks, dispatched=dispatched):
                 refused = refusal(ResultCode.QUEUE_FULL)
-                request = routed(dispatched=dispatched)
-                ends.check_refusal(request, refused)
+                request = make_request(dispatched=dispatched)
+                checks.check_refusal(request, refused)
 
-            self.assertEqual(self.violated(check), expected)
+            self.assertEqual(self.violations_of(check), expected)
 
     def test_whole_answer(self):
         for counted, expected in ((3, {Invariant.WHOLE_ANSWER}), (2, set())):
 
-            async def check(ends, counted=counted):
+            async def check(checks, counted=counted):
                 progress = AnswerProgress()
                 progress.attempt_frames = 2
                 end = AnswerEnd(
                     finish_reason="stop", usage={"completion_tokens": counted}
                 )
-                ends.check_token_count(routed(), progress, end)
+                checks.check_token_count(make_request(), progress, end)
 
-            self.assertEqual(self.violated(check), expected)
+            self.assertEqual(self.violations_of(check), expected)
 
     def test_at_most_once(self):
-        async def check(ends):
-            ends.check_attempt_count(routed(idempotent=False, attempts=2))
+        async def check(checks):
+            checks.check_attempt_count(
+                make_request(idempotent=False, attempts=2)
+            )
 
-        self.assertEqual(self.violated(check), {Invariant.AT_MOST_ONCE})
+        self.assertEqual(self.violations_of(check), {Invariant.AT_MOST_ONCE})
 
     def test_deadline(self):
         for slow_until_s, paused, expected in (
             (0, False, {Invariant.DEADLINE}),
-            (19, False, set()),  # the caller took its time
+            (19, False, set()),  # the caller read slowly
             (0, True, set()),
         ):
 
-            async def check(ends, slow=slow_until_s, paused=paused):
+            async def check(checks, slow=slow_until_s, paused=paused):
                 await asyncio.sleep(19.5)
-                view = ends.endpoint_manager.view
+                view = checks.endpoint_manager.view
                 if not paused:
                     view.last_tick_at = monotonic_s()
-                ends.check_deadline(routed(), slow)
+                checks.check_deadline(make_request(), slow)
 
-            self.assertEqual(self.violated(check), expected)
+            self.assertEqual(self.violations_of(check), expected)
--- a/tests/routing/test_crash_detector.py
+++ b/tests/routing/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash the engines that run them."""
+"""Tests of requests that crash engines, and of the retry budget."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from tests.virtual_time import SimulatedConnector, run_virtual
 
 AUTHORIZATION = {"Authorization": f"Bearer {CALLER_KEY}"}
-INNOCENTS = 24
-ALONE_S = 2.7  # 100 tokens at 25 ms and a prefill of 2,000 tokens
+OTHER_REQUESTS = 24
+UNLOADED_LATENCY_S = 2.7  # 100 tokens at 25 ms and a prefill of 2,000 tokens
 
 
 def options():
@@ -38,7 +38,7 @@
     )
 
 
-async def ask(fleet, number, prompt, answer_tokens=16):
+async def send_completion(fleet, number, prompt, answer_tokens=16):
     body = {"model": MODEL, "prompt": prompt, "max_tokens": answer_tokens}
     url = fleet.caller_url(f"entry-{number % 3}")
     return await stream_completion(fleet.session, url, body, AUTHORIZATION)
@@ -53,19 +53,21 @@
 
 
 class CrashingRequestTest(unittest.TestCase):
-    def run_beside_innocents(self, crash):
+    def run_beside_other_requests(self, crash):
         async def scenario():
             async with open_fleet(options()) as fleet:
                 await warm_up(fleet)
-                innocents = [
+                others = [
                     asyncio.create_task(
-                        ask(fleet, n, f"{n} ".ljust(8_000, "."), 200)
+                        send_completion(
+                            fleet, n, f"{n} ".ljust(8_000, "."), 200
+                        )
                     )
-                    for n in range(INNOCENTS)
+                    for n in range(OTHER_REQUESTS)
                 ]
                 await asyncio.sleep(0.5)
                 outcomes = await crash(fleet)
-                finished = await asyncio.gather(*innocents)
+                finished = await asyncio.gather(*others)
                 return (
                     [o.result for o in outcomes],
                     [o.result for o in finished],
@@ -74,47 +76,50 @@
 
         return run_virtual(scenario)
 
-    def test_caller_that_sends_it_again_and_again(self):
+    def test_crashing_request_sent_repeatedly_is_refused(self):
         async def crash(fleet):
             prompt = f"{CRASH_MARKER} ".ljust(8_000, ".")
-            return [await ask(fleet, n, prompt) for n in range(6)]
+            return [await send_completion(fleet, n, prompt) for n in range(6)]
 
-        results, innocents, causes = self.run_beside_innocents(crash)
+        results, others, causes = self.run_beside_other_requests(crash)
         self.assertEqual(results, ["crashing_request"] * 6)
-        self.assertEqual(innocents, ["ok"] * INNOCENTS)
+        self.assertEqual(others, ["ok"] * OTHER_REQUESTS)
         self.assertEqual(causes, ["prompt"] * 2)
 
-    def test_copy_through_another_daemon_while_it_is_retried(self):
+    def test_copies_sent_to_other_daemons_during_a_retry_are_refused(self):
         async def crash(fleet):
             prompt = f"{CRASH_MARKER} ".ljust(80_000, ".")  # 1 s of prefill
-            first = asyncio.create_task(ask(fleet, 0, prompt))
+            first = asyncio.create_task(send_completion(fleet, 0, prompt))
             while not crashes(fleet):
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.2)
-            copies = [ask(fleet, n, prompt) for n in range(3)]
+            copies = [send_completion(fleet, n, prompt) for n in range(3)]
             return [await first, *await asyncio.gather(*copies)]
 
-        results, innocents, causes = self.run_beside_innocents(crash)
+        results, others, causes = self.run_beside_other_requests(crash)
         self.assertEqual(results, ["crashing_request"] * 4)
-        self.assertEqual(innocents, ["ok"] * INNOCENTS)
+        self.assertEqual(others, ["ok"] * OTHER_REQUESTS)
         self.assertEqual(causes, ["prompt"] * 2)
 
-    def test_popular_request_goes_on_after_a_crash(self):
+    def test_popular_request_keeps_running_after_a_crash(self):
         async def scenario():
             async with open_fleet(options()) as fleet:
                 await warm_up(fleet)
                 prompt = "free slots today? ".ljust(8_000, ".")
-                asked = [
-                    asyncio.create_task(ask(fleet, n, prompt, 100))
-                    for n in range(INNOCENTS)
+                first_calls = [
+                    asyncio.create_task(send_completion(fleet, n, prompt, 100))
+                    for n in range(OTHER_REQUESTS)
                 ]
                 await asyncio.sleep(1)
                 next(
                     e for e in fleet.engines.values() if e.batch.jobs()
                 ).crash()
-                before = await asyncio.gather(*asked)
-                again = [ask(fleet, n, prompt, 100) for n in range(INNOCENTS)]
-                after = await asyncio.gather(*again)
+                before = await asyncio.gather(*first_calls)
+                repeated_calls = [
+                    send_completion(fleet, n, prompt, 100)
+                    for n in range(OTHER_REQUESTS)
+                ]
+                after = await asyncio.gather(*repeated_calls)
                 return [
                     (
                         {o.result for o in outcomes},
@@ -125,40 +130,42 @@
 
         (_, _), (results, slowest_s) = run_virtual(scenario)
         self.assertEqual(results, {"ok"})
-        self.assertLess(slowest_s, 2 * ALONE_S)
+        self.assertLess(slowest_s, 2 * UNLOADED_LATENCY_S)
 
 
-class StrikeBookTest(unittest.TestCase):
+class StrikeRegistryTest(unittest.TestCase):
     def test_one_crash_gives_one_strike_and_strikes_expire(self):
         async def scenario():
-            book = StrikeRegistry(retention_s=10)
-            added = [book.add("f", "e", "boot-1") for _ in range(2)]
+            registry = StrikeRegistry(retention_s=10)
+            added = [registry.add("f", "e", "boot-1") for _ in range(2)]
             await asyncio.sleep(6)
-            book.add("f", "e", "boot-2")
-            counts = [book.count("f"), book.is_refused("f")]
+            registry.add("f", "e", "boot-2")
+            counts = [registry.count("f"), registry.is_refused("f")]
             await asyncio.sleep(5)
-            counts += [book.count("f"), book.is_refused("f")]
+            counts += [registry.count("f"), registry.is_refused("f")]
             return added, counts
 
         added, counts = run_virtual(scenario)
         self.assertEqual(added, [True, False])
         self.assertEqual(counts, [2, True, 1, False])
 
-    def test_age_travels_with_a_strike(self):
+    def test_heartbeat_carries_the_age_of_a_strike(self):
         async def scenario():
-            mine, other = (StrikeRegistry(retention_s=10) for _ in range(2))
-            mine.add("f", "e", "boot-1")
+            reporter, receiver = (
+                StrikeRegistry(retention_s=10) for _ in range(2)
+            )
+            reporter.add("f", "e", "boot-1")
             await asyncio.sleep(8)
             heartbeat = Heartbeat()
-            mine.fill_heartbeat(heartbeat, "peer")
-            other.note_heartbeat(heartbeat)
-            before = other.count("f")
+            reporter.fill_heartbeat(heartbeat, "peer")
+            receiver.on_heartbeat(heartbeat)
+            before = receiver.count("f")
             await asyncio.sleep(3)
-            return before, other.count("f")
+            return before, receiver.count("f")
 
         self.assertEqual(run_virtual(scenario), (1, 0))
 
-    def test_a_request_that_ran_to_its_end_is_cleared_everywhere(self):
+    def test_completed_request_is_cleared_at_all_daemons(self):
         async def scenario():
             first, second = (StrikeRegistry(retention_s=60) for _ in range(2))
             first.add("f", "engine-0", "boot-1")
@@ -167,15 +174,17 @@
                     first.clear("f")
                 heartbeat = Heartbeat()
                 first.fill_heartbeat(heartbeat, "peer")
-                second.note_heartbeat(heartbeat)
+                second.on_heartbeat(heartbeat)
                 struck = (first.is_struck("f"), second.is_struck("f"))
                 self.assertEqual(struck, (not cleared, not cleared))
-            second.add("f", "engine-0", "boot-1")  # told again of the same
+            second.add(
+                "f", "engine-0", "boot-1"
+            )  # the same crash, reported again
             self.assertFalse(second.is_struck("f"))
             second.add("f", "engine-0", "boot-2")
             self.assertTrue(second.is_struck("f"))
             await asyncio.sleep(61)
-            return [book.count("f") for book in (first, second)]
+            return [registry.count("f") for registry in (first, second)]
 
         self.assertEqual(run_virtual(scenario), [0, 0])
 
@@ -186,7 +195,7 @@
             budget = RetryBudget(settings=RoutingSettings())
             floor = sum(budget.try_acquire() for _ in range(100))
             for _ in range(55):
-                budget.note_admitted()
+                budget.record_admission()
             share = sum(budget.try_acquire() for _ in range(100))
             await asyncio.sleep(30)
             return floor, share, sum(budget.try_acquire() for _ in range(100))
--- a/tests/routing/test_crash_registry.py
+++ b/tests/routing/test_crash_registry.py
@@ -1,4 +1,4 @@
-"""A request that crashes its endpoints is recognised and refused."""
+"""Tests that a request that crashes endpoints is detected and refused."""
 
 from __future__ import annotations
 
@@ -13,48 +13,48 @@
 from tests.virtual_time import in_virtual_loop
 
 
-class CrashRecordTest(unittest.TestCase):
+class CrashRegistryTest(unittest.TestCase):
     @in_virtual_loop
-    def test_third_crash_refuses(self):
-        record = CrashRegistry()
+    def test_request_is_refused_after_third_crash(self):
+        registry = CrashRegistry()
         for number in range(3):
-            self.assertFalse(record.is_refused("request"))
-            record.record_crash("request", f"engine-{number}")
-        self.assertTrue(record.is_refused("request"))
-        self.assertFalse(record.is_refused("another"))
+            self.assertFalse(registry.is_refused("request"))
+            registry.record_crash("request", f"engine-{number}")
+        self.assertTrue(registry.is_refused("request"))
+        self.assertFalse(registry.is_refused("another"))
 
     @in_virtual_loop
-    def test_one_crash_counts_once_whoever_reports_it(self):
-        record = CrashRegistry()
+    def test_crash_reported_repeatedly_counts_once(self):
+        registry = CrashRegistry()
         for _ in range(5):
-            record.record_crash("request", "engine-1")
-            record.merge_peer_crashes(["request/engine-1", "request", ""])
-        self.assertEqual(record.count("request"), 1)
+            registry.record_crash("request", "engine-1")
+            registry.merge_peer_crashes(["request/engine-1", "request", ""])
+        self.assertEqual(registry.count("request"), 1)
 
     @in_virtual_loop
-    def test_peers_are_told(self):
-        seen, told = CrashRegistry(), CrashRegistry()
+    def test_local_crashes_are_announced_to_peers(self):
+        local, peer = CrashRegistry(), CrashRegistry()
         for number in range(3):
-            seen.record_crash("request", f"engine-{number}")
-        told.merge_peer_crashes(seen.recent_local_crashes())
-        self.assertTrue(told.is_refused("request"))
+            local.record_crash("request", f"engine-{number}")
+        peer.merge_peer_crashes(local.recent_local_crashes())
+        self.assertTrue(peer.is_refused("request"))
         self.assertEqual(
-            told.recent_local_crashes(), []
-        )  # each daemon tells its own
+            peer.recent_local_crashes(), []
+        )  # only the observing daemon announces
 
     @in_virtual_loop
     def test_memory_is_bounded(self):
-        record = CrashRegistry()
+        registry = CrashRegistry()
         for number in range(crash_registry.MAX_FINGERPRINTS + 10):
-            record.merge_peer_crashes([f"request-{number}/engine"])
-        self.assertEqual(record.count("request-0"), 0)
+            registry.merge_peer_crashes([f"request-{number}/engine"])
+        self.assertEqual(registry.count("request-0"), 0)
         self.assertLessEqual(
-            len(record.recent_local_crashes()),
+            len(registry.recent_local_crashes()),
             crash_registry.MAX_CRASHES_PER_DATAGRAM,
         )
 
-    def test_fingerprint_leaves_out_the_attempt(self):
-        def made(attempt, key, body):
+    def test_fingerprint_ignores_the_attempt_id(self):
+        def fingerprint_of(attempt, key, body):
             headers = [
                 ("x-attempt-id", attempt),
                 ("authorization", f"Bearer {key}"),
@@ -64,10 +64,10 @@
             )
             return compute_fingerprint(request, body)
 
-        first = made("1", "key", b"body")
-        self.assertEqual(first, made("2", "key", b"body"))
-        self.assertNotEqual(first, made("1", "other", b"body"))
-        self.assertNotEqual(first, made("1", "key", b"other"))
+        first = fingerprint_of("1", "key", b"body")
+        self.assertEqual(first, fingerprint_of("2", "key", b"body"))
+        self.assertNotEqual(first, fingerprint_of("1", "other", b"body"))
+        self.assertNotEqual(first, fingerprint_of("1", "key", b"other"))
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_limits_of_entry.py
+++ b/tests/routing/test_limits_of_entry.py
@@ -1,4 +1,4 @@
-"""Retries, cold rates and endpoint health of the entry daemon."""
+"""Tests of retry budget, cold rates and endpoint health of entry daemons."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 COLD = Service(name="engines", cold_requests_per_s=26)
 
 
-class BudgetTest(unittest.TestCase):
+class WindowedRetryBudgetTest(unittest.TestCase):
     def test_all_daemons_together_stay_within_the_window(self):
-        """Every daemon retries as often as it may, with no view of others."""
+        """Every daemon spends its whole budget without knowing the others'."""
 
         async def run():
             budgets = [
@@ -34,7 +34,7 @@
             requests = retries = 0
             for budget in budgets:
                 for _ in range(40):
-                    budget.note_request("engines")
+                    budget.record_request("engines")
                     requests += 1
                 while budget.try_acquire("engines"):
                     retries += 1
@@ -57,11 +57,11 @@
         run_virtual(run)
 
 
-class ColdRateTest(unittest.TestCase):
-    def test_daemons_that_know_nothing_of_each_other(self):
-        """All daemons send to one endpoint that turned cold, and cannot talk.
+class SendRateLimiterTest(unittest.TestCase):
+    def test_isolated_daemons_stay_within_the_cold_rate(self):
+        """Isolated daemons all send to one endpoint that has become cold.
 
-        Three more daemons than known have been started as well.
+        Three of the twelve daemons are not known to the others.
         """
 
         async def run():
@@ -70,43 +70,43 @@
                 for _ in range(12)
             ]
             sent = 0
-            for rates in fleet:
-                while rates.allows(COLD, "engine"):
-                    rates.record_send("engine")
+            for limiter in fleet:
+                while limiter.allows(COLD, "engine"):
+                    limiter.record_send("engine")
                     sent += 1
             self.assertLessEqual(sent, 26 * 1.5 + 5)
 
         run_virtual(run)
 
-    def test_daemons_that_hear_of_each_other(self):
+    def test_sends_of_other_daemons_count(self):
         async def run():
-            rates = SendRateLimiter(bounds=BOUNDS, count_daemons=lambda: 90)
+            limiter = SendRateLimiter(bounds=BOUNDS, count_daemons=lambda: 90)
             for _ in range(27):
-                rates.record_fleet_send("engine")
-            self.assertFalse(rates.allows(COLD, "engine"))
-            self.assertTrue(rates.allows(COLD, "another"))
+                limiter.record_fleet_send("engine")
+            self.assertFalse(limiter.allows(COLD, "engine"))
+            self.assertTrue(limiter.allows(COLD, "another"))
             await asyncio.sleep(1.2)
-            self.assertTrue(rates.allows(COLD, "engine"))
+            self.assertTrue(limiter.allows(COLD, "engine"))
 
         run_virtual(run)
 
-    def test_service_without_a_cold_rate(self):
+    def test_service_without_a_cold_rate_is_unlimited(self):
         async def run():
-            rates = SendRateLimiter(bounds=BOUNDS, count_daemons=lambda: 9)
+            limiter = SendRateLimiter(bounds=BOUNDS, count_daemons=lambda: 9)
             for _ in range(500):
-                rates.record_send("desk")
-            self.assertTrue(rates.allows(Service(name="desk"), "desk"))
+                limiter.record_send("desk")
+            self.assertTrue(limiter.allows(Service(name="desk"), "desk"))
 
         run_virtual(run)
 
 
-class HealthTest(unittest.TestCase):
-    def test_failures_make_suspect_and_fade(self):
+class EndpointHealthTest(unittest.TestCase):
+    def test_failures_make_an_endpoint_suspect_and_decay(self):
         async def run():
             health = EndpointHealth()
-            health.note_failure("a", "cut")
+            health.record_failure("a", "cut")
             self.assertFalse(health.is_suspect("a"))
-            health.note_failure("a", "cut")
+            health.record_failure("a", "cut")
             self.assertTrue(health.is_suspect("a"))
             self.assertFalse(health.is_suspect("b"))
             await asyncio.sleep(3)
@@ -114,12 +114,12 @@
 
         run_virtual(run)
 
-    def test_successes_count(self):
+    def test_success_lowers_the_score(self):
         async def run():
             health = EndpointHealth()
             for _ in range(2):
-                health.note_failure("a", "cut")
-            health.note_success("a")
+                health.record_failure("a", "cut")
+            health.record_success("a")
             self.assertFalse(health.is_suspect("a"))
 
         run_virtual(run)
--- a/tests/routing/test_plain.py
+++ b/tests/routing/test_plain.py
@@ -47,7 +47,7 @@
 
 
 class AtMostOnceTest(unittest.TestCase):
-    def test_without_key_one_attempt(self):
+    def test_request_without_key_is_attempted_once(self):
         async def scenario():
             async with open_bench() as bench:
                 bench.service.drop_next = 1
@@ -117,12 +117,12 @@
                 early = await bench.run(other)
                 await asyncio.sleep(20)
                 late = await bench.run(other)
-                woken = await task
+                paused_outcome = await task
                 await paused.claims.flush(5)
                 runs = len(bench.service.runs)
-                again = await bench.run(other)
-                codes = [o.code for o in (early, late, woken)]
-                return codes, woken.ran, runs, again.status
+                repeated = await bench.run(other)
+                codes = [o.code for o in (early, late, paused_outcome)]
+                return codes, paused_outcome.ran, runs, repeated.status
 
         def after_claim(router):
             claim = router.claims.claim
@@ -192,7 +192,7 @@
             ],
         )
 
-    def test_broken_dispatch_is_unknown_at_once(self):
+    def test_broken_dispatch_is_recorded_as_unknown_immediately(self):
         async def scenario():
             async with open_bench(routers=2) as bench:
                 bench.service.drop_next = 1
@@ -222,7 +222,7 @@
 
 
 class StoreFaultTest(unittest.TestCase):
-    """Brings each fault at each step: layout, claim, dispatch, record."""
+    """Injects each fault at each step: layout, claim, dispatch and record."""
 
     async def run_with_fault(self, fault, start_s: float, last_s: float):
         async with open_bench(routers=2) as bench:
@@ -237,17 +237,19 @@
             outcome = await task
             ran = list(bench.service.run_ids)
             await asyncio.sleep(15)
-            again = await bench.run(second)
-            return outcome, ran, again, bench.service.run_ids
+            repeated = await bench.run(second)
+            return outcome, ran, repeated, bench.service.run_ids
 
     def check(self, fault, start_s: float, last_s: float):
-        outcome, ran, again, run_ids = run_virtual(
+        outcome, ran, repeated, run_ids = run_virtual(
             lambda: self.run_with_fault(fault, start_s, last_s)
         )
         self.assertEqual(len(run_ids), 1)
-        self.assertEqual(again.status, 201)
+        self.assertEqual(repeated.status, 201)
         if ran:
-            self.assertEqual((outcome.status, again.body), (201, outcome.body))
+            self.assertEqual(
+                (outcome.status, repeated.body), (201, outcome.body)
+            )
         else:
             self.assertEqual(
                 (outcome.code, outcome.ran),
@@ -264,18 +266,24 @@
         def slow(platform, on):
             platform.delay_s = 3.0 if on else 0.1
 
-        def lost(platform, on):
+        def answers_lost(platform, on):
             platform.lose_answers = 3 if on else 0
 
-        def lost_and_hung(platform, on):
+        def answers_lost_and_hung(platform, on):
             platform.lose_answers, platform.hang_lost = 2 * on, on
 
-        for fault in (outage, silent, slow, lost, lost_and_hung):
+        for fault in (
+            outage,
+            silent,
+            slow,
+            answers_lost,
+            answers_lost_and_hung,
+        ):
             for step in range(12):
                 with self.subTest(fault=fault.__name__, step=step):
                     self.check(fault, 0.09 * step, 10)
 
-    def test_claim_of_lost_fate_is_dropped_after_an_outage(self):
+    def test_claim_of_unknown_outcome_is_dropped_after_an_outage(self):
         async def scenario():
             async with open_bench() as bench:
                 router = bench.routers[0]
@@ -289,8 +297,8 @@
                 await asyncio.sleep(60)
                 bench.platform.outage = False
                 await asyncio.sleep(10)
-                again = await bench.run(router)
-                return refused, again.status, len(bench.service.runs)
+                repeated = await bench.run(router)
+                return refused, repeated.status, len(bench.service.runs)
 
         refused, status, runs = run_virtual(scenario)
         self.assertEqual(
@@ -308,15 +316,20 @@
                 bench.platform.outage = True
                 answer = await task
                 await asyncio.sleep(3600)
-                down = await bench.run(second)
+                during_outage = await bench.run(second)
                 bench.platform.outage = False
                 await asyncio.sleep(10)
-                again = await bench.run(second)
-                return answer, down.code, again, len(bench.service.runs)
+                repeated = await bench.run(second)
+                return (
+                    answer,
+                    during_outage.code,
+                    repeated,
+                    len(bench.service.runs),
+                )
 
-        answer, down, again, runs = run_virtual(scenario)
-        self.assertIs(down, ResultCode.STORE_UNAVAILABLE)
-        self.assertEqual((again.body, runs), (answer.body, 1))
+        answer, during_outage, repeated, runs = run_virtual(scenario)
+        self.assertIs(during_outage, ResultCode.STORE_UNAVAILABLE)
+        self.assertEqual((repeated.body, runs), (answer.body, 1))
 
 
 class RandomRunTest(unittest.TestCase):
@@ -372,7 +385,7 @@
                     bench.routers[router], key, body=body
                 )
 
-            async def break_it(kind, at):
+            async def inject_fault(kind, at):
                 await asyncio.sleep(at / 10)
                 platform = bench.platform
                 match kind:
@@ -392,7 +405,9 @@
                         setattr(platform, kind, False)
 
             tasks += [asyncio.create_task(send(*r)) for r in requests]
-            others = [asyncio.create_task(break_it(*f)) for f in faults]
-            await asyncio.gather(*tasks, *others, return_exceptions=True)
+            fault_tasks = [
+                asyncio.create_task(inject_fault(*f)) for f in faults
+            ]
+            await asyncio.gather(*tasks, *fault_tasks, return_exceptions=True)
             ids = bench.service.run_ids
             return outcomes, collections.Counter(keys[i] for i in ids), ids
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retries and of what refusals say about them."""
+"""Tests of retries and of the execution state that refusals report."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def run_with_crash(*, engines, crash_after_s, budget=10, extra_crashes=0):
-    """Returns the outcome of a request and the attempts at engines."""
+    """Returns the outcome of a request and the engines that started it."""
 
     def customize_settings(settings):
         settings.routing.retry_budget_floor = budget
@@ -44,7 +44,7 @@
             if not crash_after_s:
                 for engine in fleet.engines.values():
                     engine.crash()
-            call = asyncio.create_task(ask(fleet))
+            call = asyncio.create_task(send_completion(fleet))
             for _ in range(1 + extra_crashes):
                 await asyncio.sleep(crash_after_s)
                 for engine in fleet.engines.values():
@@ -61,7 +61,7 @@
     return run_virtual(scenario)
 
 
-async def ask(fleet):
+async def send_completion(fleet):
     headers = {
         "Authorization": f"Bearer {CALLER_KEY}",
         "X-Deadline-Seconds": str(DEADLINE_S),
@@ -85,17 +85,17 @@
         self.assertEqual(outcome.ran, "unknown")
         self.assertEqual(len(started), 1)
 
-    def test_refused_connections_did_not_run(self):
+    def test_refused_connections_report_not_run(self):
         outcome, started = run_with_crash(engines=2, crash_after_s=0)
         self.assertEqual(outcome.ran, "no")
         self.assertEqual(started, [])
 
-    def test_no_place_after_a_lost_attempt_does_not_say_not_run(self):
+    def test_placement_failure_after_a_lost_attempt_reports_unknown(self):
         outcome, started = run_with_crash(engines=1, crash_after_s=0.5)
         self.assertNotEqual(outcome.result, "ok")
         self.assertEqual((outcome.ran, len(started)), ("unknown", 1))
 
-    def test_never_past_the_deadline(self):
+    def test_retries_end_at_the_deadline(self):
         outcome, _ = run_with_crash(
             engines=2, crash_after_s=0.9, extra_crashes=1
         )
--- a/tests/routing/test_team_limits.py
+++ b/tests/routing/test_team_limits.py
@@ -1,4 +1,4 @@
-"""Tests of team limits over several daemons."""
+"""Tests of team limits across several daemons."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 INTERVAL_S = 0.5
 
 
-class Daemons:
-    """The limits of several daemons that exchange heartbeats."""
+class DaemonGroup:
+    """The team limits of several daemons that exchange heartbeats."""
 
     def __init__(self, team):
         change = Change(kind=ObjectKind.TEAM, name="t", team=team)
@@ -57,9 +57,9 @@
                 for peer in self.limits:
                     if peer is limits:
                         continue
-                    beat = Heartbeat(sender=sender)
-                    limits.fill_heartbeat(beat, peer.view.local_member.id)
-                    peer.note_heartbeat(beat)
+                    heartbeat = Heartbeat(sender=sender)
+                    limits.fill_heartbeat(heartbeat, peer.view.local_member.id)
+                    peer.on_heartbeat(heartbeat)
                     status = peer.view.peers[sender.id]
                     status.heard_at = asyncio.get_running_loop().time()
             await asyncio.sleep(INTERVAL_S)
@@ -81,47 +81,52 @@
 
 
 def offer(team, *, seed, tokens, seconds, gap_s, run_s=1.0):
-    """Offers requests; returns admitted tokens, most in flight, refusals."""
+    """Offers requests at random daemons.
+
+    Returns:
+        The admitted tokens, the maximum number of requests in flight and the
+        refusals.
+    """
 
     async def scenario():
-        daemons = Daemons(team)
-        beats = asyncio.create_task(daemons.exchange())
-        source = random.Random(seed)
+        daemons = DaemonGroup(team)
+        heartbeat_task = asyncio.create_task(daemons.exchange())
+        rng = random.Random(seed)
         loop = asyncio.get_running_loop()
         await asyncio.sleep(2 * INTERVAL_S)
-        admitted, running, most, refusals = 0, 0, 0, []
+        admitted, running, max_running, refusals = 0, 0, 0, []
         ends = []
-        until = loop.time() + seconds
-        while loop.time() < until:
+        end_at = loop.time() + seconds
+        while loop.time() < end_at:
             await asyncio.sleep(gap_s)
             for ended in [e for e in ends if e[0] <= loop.time()]:
                 ends.remove(ended)
                 ended[1].finish(ended[2])
                 running -= 1
-            limits = source.choice(daemons.limits)
-            asked = request(source.randint(1, tokens))
-            refused = limits.admit(asked)
+            limits = rng.choice(daemons.limits)
+            routed = request(rng.randint(1, tokens))
+            refused = limits.admit(routed)
             if refused is not None:
                 refusals.append(refused)
                 continue
-            admitted += asked.prompt_tokens
+            admitted += routed.prompt_tokens
             running += 1
-            most = max(most, running)
-            ends.append((loop.time() + run_s, limits, asked))
-        beats.cancel()
-        return admitted, most, refusals
+            max_running = max(max_running, running)
+            ends.append((loop.time() + run_s, limits, routed))
+        heartbeat_task.cancel()
+        return admitted, max_running, refusals
 
     return run_virtual(scenario)
 
 
-async def ask(fleet, number):
+async def send_completion(fleet, number):
     body = {"model": MODEL, "prompt": "p" * 8_000, "max_tokens": 64}
     headers = {"Authorization": f"Bearer {CALLER_KEY}"}
     url = fleet.caller_url(f"entry-{number % 3}")
     return await stream_completion(fleet.session, url, body, headers)
 
 
-class WholePathTest(unittest.TestCase):
+class EndToEndTest(unittest.TestCase):
     def test_second_request_in_flight_is_refused_by_any_daemon(self):
         async def scenario():
             options = FleetOptions(connector=SimulatedConnector)
@@ -131,12 +136,16 @@
                 change = Change(kind=ObjectKind.TEAM, name=TEAM, team=team)
                 await fleet.apply(fleet.ticket([change]))
                 await fleet.wait_until_converged()
-                first = asyncio.create_task(ask(fleet, 0))
-                await asyncio.sleep(2 * INTERVAL_S)  # the usage has spread
-                others = [await ask(fleet, number) for number in range(3)]
+                first = asyncio.create_task(send_completion(fleet, 0))
+                await asyncio.sleep(
+                    2 * INTERVAL_S
+                )  # heartbeats have reported the usage
+                others = [
+                    await send_completion(fleet, number) for number in range(3)
+                ]
                 result = (await first).result
                 await asyncio.sleep(2 * INTERVAL_S)
-                return result, others, await ask(fleet, 1)
+                return result, others, await send_completion(fleet, 1)
 
         first, others, after = run_virtual(scenario)
         self.assertEqual(first, "ok")
@@ -167,13 +176,13 @@
 
     @settings(derandomize=True, deadline=None, max_examples=20)
     @given(st.integers(0, 10**6), st.sampled_from([1, 5, 40]))
-    def test_requests_in_flight_stay_within_the_stated_bound(self, seed, most):
-        team = Team(max_in_flight=most)
-        _, seen, _ = offer(
+    def test_requests_in_flight_stay_within_the_stated_bound(self, seed, limit):
+        team = Team(max_in_flight=limit)
+        _, max_running, _ = offer(
             team, seed=seed, tokens=10, seconds=20, gap_s=0.005, run_s=1.0
         )
-        self.assertLessEqual(seen, most + DAEMONS - 1)
-        self.assertGreaterEqual(seen, most)
+        self.assertLessEqual(max_running, limit + DAEMONS - 1)
+        self.assertGreaterEqual(max_running, limit)
 
     def test_no_limit_admits_everything(self):
         _, _, refusals = offer(
