--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -111,7 +111,7 @@
                 )
             except EndpointFailureError as error:
                 if not self._may_resume(error, resumes):
-                    error.sent = error.sent or resumes > 0  # by the first call
+                    error.sent = error.sent or resumes > 0  # on the first call
                     raise
             resumes += 1
             await asyncio.sleep(RESUME_DELAY_S)
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -204,9 +204,7 @@
                         reason = "it was too late to send the request"
                     unsent_attempts += 1
                     if not request.dispatched:
-                        request.attempts -= (
-                            1  # no endpoint received the request
-                        )
+                        request.attempts -= 1  # no endpoint received it
         except TimeoutError:
             return refusal(ResultCode.DEADLINE_EXCEEDED, ran=_ran(request))
         return refusal(ResultCode.ENDPOINT_FAILED, reason, ran=_ran(request))
--- a/src/auburnswitch/routing/team_limits.py
+++ b/src/auburnswitch/routing/team_limits.py
@@ -108,8 +108,8 @@
 class TeamLimits:
     """Admits requests within their teams' limits.
 
-    In one heartbeat interval a daemon admits at most its share of the capacity
-    available at the start of the interval, but always at least one request,
+    In one heartbeat interval a daemon admits its share of the capacity
+    available at the start of the interval, or one request if that is more,
     because the other daemons may do the same before their heartbeats arrive.
     All daemons together therefore exceed a limit by at most one request for
     each other daemon, and excess tokens are repaid.
--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -56,7 +56,7 @@
         bounds = BoundSettings(cold_ratio=1.0, cold_extra=0)
         rates = SendRateLimiter(bounds=bounds, count_daemons=lambda: self.known)
         times = [NOW_S - age * self.tick_s for age in sorted(ages)[::-1]]
-        rates._sent[ENDPOINT] = deque(times)
+        rates._local_sends[ENDPOINT] = deque(times)
         with (
             mock.patch.object(module, "monotonic_s", lambda: NOW_S),
             mock.patch.object(module, "FLEET_RATE_FRACTION", 1.0),
