--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -1,4 +1,4 @@
-"""Reads the answer of one attempt and resumes it after a lost connection."""
+"""Reads one attempt's answer and resumes it at the same endpoint."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_crash_detector.py
+++ b/tests/routing/test_crash_detector.py
@@ -177,9 +177,7 @@
                 second.on_heartbeat(heartbeat)
                 struck = (first.is_struck("f"), second.is_struck("f"))
                 self.assertEqual(struck, (not cleared, not cleared))
-            second.add(
-                "f", "engine-0", "boot-1"
-            )  # the same crash, reported again
+            second.add("f", "engine-0", "boot-1")  # reported again
             self.assertFalse(second.is_struck("f"))
             second.add("f", "engine-0", "boot-2")
             self.assertTrue(second.is_struck("f"))
