--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -30,7 +30,7 @@
 MAX_RESUMES: Final = 2
 RESUME_DELAY_S: Final = 0.1
 DRAIN_TIMEOUT_S: Final = 0.2
-PREFILL_TIMEOUT_FACTOR: Final = 4.0  # multiple of the estimated prefill time
+PREFILL_TIMEOUT_FACTOR: Final = 4.0  # multiple of the unloaded prefill time
 
 
 @dataclass(slots=True, kw_only=True)
--- a/tests/routing/test_team_limits.py
+++ b/tests/routing/test_team_limits.py
@@ -137,9 +137,7 @@
                 await fleet.apply(fleet.ticket([change]))
                 await fleet.wait_until_converged()
                 first = asyncio.create_task(send_completion(fleet, 0))
-                await asyncio.sleep(
-                    2 * INTERVAL_S
-                )  # heartbeats have reported the usage
+                await asyncio.sleep(2 * INTERVAL_S)  # usage was reported
                 others = [
                     await send_completion(fleet, number) for number in range(3)
                 ]
