--- a/tests/routing/test_cold_model.py
+++ b/tests/routing/test_cold_model.py
@@ -60,7 +60,7 @@
             bounds=bounds, count_daemons=lambda: self.known_daemons
         )
         times = [NOW_S - age * self.tick_s for age in sorted(ages)[::-1]]
-        limiter._sent[ENDPOINT] = deque(times)
+        limiter._local_sends[ENDPOINT] = deque(times)
         with (
             mock.patch.object(limiter_module, "monotonic_s", lambda: NOW_S),
             mock.patch.object(limiter_module, "FLEET_RATE_FRACTION", 1.0),
