--- a/src/auburnswitch/daemon/daemon.py
+++ b/src/auburnswitch/daemon/daemon.py
@@ -193,7 +193,7 @@
             view=self.view,
             state=self.state,
             invariants=self.invariants,
-            rights=self.ownership_leases,
+            leases=self.ownership_leases,
         )
         self.reservations = ReservationClient(
             endpoint_manager=self.endpoint_manager, membership=self.membership
@@ -224,8 +224,8 @@
             self.instance_list_reader.fill_heartbeat,
         ]
         self.membership.heartbeat_listeners += [
-            self.endpoint_manager.note_heartbeat,
-            self.instance_list_reader.note_heartbeat,
+            self.endpoint_manager.on_heartbeat,
+            self.instance_list_reader.on_heartbeat,
         ]
         handover = Handover(endpoint_manager=self.endpoint_manager)
         self.membership.handover_fillers.append(handover.fill_request)
--- a/src/auburnswitch/endpoints/admission.py
+++ b/src/auburnswitch/endpoints/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request fits on an endpoint now, and predicts waits."""
+"""Checks an endpoint's capacity for a request and predicts queueing delays."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def has_capacity(
     ledger: EndpointLedger, request: ReserveRequest, settings: RoutingSettings
 ) -> bool:
-    """Tells whether a request fits beside what has been granted."""
+    """Returns whether a request fits beside the granted reservations."""
     needed = needed_tokens(request)
     if ledger.reserved_tokens + needed > ledger.spec.memory_tokens:
         return False
@@ -31,22 +31,26 @@
 def _fits_beside_short(
     ledger: EndpointLedger, needed: int, settings: RoutingSettings
 ) -> bool:
-    """Tells whether enough memory stays for short requests.
+    """Returns whether enough memory remains for short requests.
 
-    One request may be larger than what the others leave of the memory.
+    A request that is not short may use the share reserved for short requests
+    if no other such request holds a reservation.
     """
-    taken = ledger.reserved_tokens
+    reserved = ledger.reserved_tokens
     if not any(
         r.length_class is not LengthClass.SHORT
         for r in ledger.reservations.values()
     ):
         return True
     limit = ledger.spec.memory_tokens * (1 - settings.short_memory_share)
-    return taken + needed <= limit
+    return reserved + needed <= limit
 
 
 def _fits_long_prefill(ledger: EndpointLedger, request: ReserveRequest) -> bool:
-    """Tells whether long prefill stays within its bound; one always may."""
+    """Returns whether long prefill stays within its limit.
+
+    A single long prompt may exceed the limit.
+    """
     prefill = sum(
         r.prefill_tokens
         for r in ledger.reservations.values()
@@ -57,12 +61,12 @@
 
 
 def fits_when_idle(ledger: EndpointLedger, request: ReserveRequest) -> bool:
-    """Tells whether a request fits when nothing else runs."""
+    """Returns whether a request fits on an otherwise idle endpoint."""
     return needed_tokens(request) <= ledger.spec.memory_tokens
 
 
 def needed_tokens(request: ReserveRequest) -> int:
-    """Returns the memory that a request takes, in tokens."""
+    """Returns the memory that a request requires, in tokens."""
     return request.prompt_tokens + request.answer_tokens
 
 
@@ -77,14 +81,17 @@
 
 
 def prefill_rate(ledger: EndpointLedger) -> float:
-    """Returns the prompt tokens that the endpoint prefills in a second."""
+    """Returns the endpoint's prefill rate, in prompt tokens per second."""
     return float(max(1, ledger.spec.prefill_tokens_per_second))
 
 
 def deadline_overrun_s(
     ledger: EndpointLedger, request: ReserveRequest, wait_s: float
 ) -> float:
-    """Returns how far past its deadline the first token would come."""
+    """Returns by how many seconds the first token would miss its deadline.
+
+    The result is negative if the first token is expected in time.
+    """
     prefill = request.prompt_tokens - request.cached_tokens
     return wait_s + prefill / prefill_rate(ledger) - request.time_left_s
 
--- a/src/auburnswitch/endpoints/admission_controller.py
+++ b/src/auburnswitch/endpoints/admission_controller.py
@@ -1,4 +1,4 @@
-"""Decides whether a request gets room on an owned endpoint."""
+"""Decides the admission of requests on endpoints that this daemon owns."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     from auburnswitch.endpoints.cold_endpoint_gate import ColdEndpointGate
     from auburnswitch.endpoints.ledger import EndpointLedger
-    from auburnswitch.endpoints.rights import StrictOwnership
+    from auburnswitch.endpoints.rights import EndpointLeases
     from auburnswitch.endpoints.unschedulable import UnschedulableEndpoints
     from auburnswitch.members.member_view import MemberView
     from auburnswitch.observe.invariants import Invariants
@@ -30,19 +30,19 @@
 
 
 class AdmissionController:
-    """Grants or refuses; what it can do neither with has to wait.
+    """Grants or refuses reservation requests, or leaves them queued.
 
     Attributes:
         ledgers: Ledgers of the owned endpoints.
-        routing: Bounds of queues and waits.
-        view: The members, this daemon among them.
-        owns: Tells whether this daemon owns an endpoint.
-        is_unschedulable: Tells whether an endpoint receives no new work.
-        is_struck: Tells by a fingerprint whether a request was in flight at a
-            crash.
+        routing: Routing settings, with the memory share for short requests.
+        view: The members, including this daemon.
+        owns: Returns whether this daemon owns an endpoint.
+        is_unschedulable: Returns whether an endpoint receives no new work.
+        is_struck: Returns whether a request with this fingerprint was in
+            flight at a crash.
         unschedulable: Endpoints that receive no new work, with the reason.
-        cold_gate: Tells whether cold endpoints may be used.
-        rights: Tells whether this daemon is a strict owner.
+        cold_gate: Decides whether cold endpoints may be used.
+        leases: Ownership leases of this daemon.
         invariants: Checks each grant.
         next_id: Number of the newest reservation.
     """
@@ -52,10 +52,10 @@
         "invariants",
         "is_struck",
         "is_unschedulable",
+        "leases",
         "ledgers",
         "next_id",
         "owns",
-        "rights",
         "routing",
         "unschedulable",
         "view",
@@ -72,7 +72,7 @@
         is_struck: Callable[[str], bool],
         unschedulable: UnschedulableEndpoints,
         cold_gate: ColdEndpointGate,
-        rights: StrictOwnership,
+        leases: EndpointLeases,
         invariants: Invariants,
     ) -> None:
         self.ledgers = ledgers
@@ -83,14 +83,14 @@
         self.is_struck = is_struck
         self.unschedulable = unschedulable
         self.cold_gate = cold_gate
-        self.rights = rights
+        self.leases = leases
         self.invariants = invariants
         self.next_id = 0
 
     def try_reserve(
         self, request: ReserveRequest, member_id: str
     ) -> ReserveReply | None:
-        """Returns a final reply, or None while there is no room."""
+        """Returns a final reply, or None while the request has to wait."""
         ledger = self.ledgers.get(request.endpoint)
         if ledger is None or not self.owns(request.endpoint):
             return ReserveReply(code=ResultCode.NOT_OWNER)
@@ -100,7 +100,7 @@
             return None
         if not has_capacity(ledger, request, self.routing):
             return None
-        if self._meets_struck(ledger, request):
+        if self._conflicts_with_struck(ledger, request):
             return None
         self.next_id += 1
         reservation_id = f"{self.view.local_member.id}/{self.next_id}"
@@ -113,10 +113,10 @@
             reservation_id=reservation_id, boot_id=ledger.boot_id
         )
 
-    def _meets_struck(
+    def _conflicts_with_struck(
         self, ledger: EndpointLedger, request: ReserveRequest
     ) -> bool:
-        """Tells whether a struck request would run beside another one."""
+        """Returns whether a struck request would run beside another one."""
         if not request.struck and not self.is_struck(request.fingerprint):
             return False
         granted = ledger.reservations.values()
@@ -125,7 +125,7 @@
     def refusal(
         self, ledger: EndpointLedger, request: ReserveRequest
     ) -> ResultCode | None:
-        """Returns why a request can't be granted by waiting, or None."""
+        """Returns why waiting can't lead to a grant, or None if it can."""
         if (
             self.is_unschedulable(ledger.name)
             or ledger.phase in UNSCHEDULABLE_PHASES
@@ -146,17 +146,17 @@
         holds = not ledger.is_cold or (
             ledger.running <= limits.running
             and ledger.prompt_tokens <= limits.prompt_tokens
-            and self.rights.holds_lease(ledger.name)
+            and self.leases.holds_lease(ledger.name)
         )
         self.invariants.check(holds, Invariant.COLD_BOUND, endpoint=ledger.name)
-        closed = self.unschedulable.phase(ledger.name)
+        phase = self.unschedulable.phase(ledger.name)
         self.invariants.check(
-            closed is not EndpointPhase.OUT,
+            phase is not EndpointPhase.OUT,
             Invariant.ZONE_OUT,
             endpoint=ledger.name,
         )
         self.invariants.check(
-            closed is not EndpointPhase.LEAVING,
+            phase is not EndpointPhase.LEAVING,
             Invariant.LEAVING,
             endpoint=ledger.name,
         )
--- a/src/auburnswitch/endpoints/backlog.py
+++ b/src/auburnswitch/endpoints/backlog.py
@@ -1,4 +1,4 @@
-"""Estimates how far an endpoint has come with the prompts granted on it."""
+"""Estimates the prefill progress of the prompts granted on an endpoint."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
     from auburnswitch.endpoints.reservation import Reservation
     from auburnswitch.schema.peers import LengthClass
 
-CHUNK_DELAY_S: Final = 0.05  # until a prompt in prefill gives way
+CHUNK_DELAY_S: Final = 0.05  # until a prompt in prefill is preempted
 MIN_REMAINING_S: Final = 0.02
 
 
 @dataclass(slots=True, kw_only=True)
 class PrefillItem:
-    """A prompt that the endpoint has yet to prefill.
+    """A prompt that the endpoint has not fully prefilled.
 
     Attributes:
         length: Its length class, which is its priority at the endpoint.
-        order: Its place among prompts of the class.
-        remaining_tokens: Tokens that are believed to be left.
+        order: Its grant order among prompts of the same class.
+        remaining_tokens: Estimated tokens still to prefill.
     """
 
     length: LengthClass
@@ -33,56 +33,56 @@
 
 
 class PrefillBacklog:
-    """A model of an endpoint that prefills one prompt after the other.
+    """Models an endpoint that prefills one prompt at a time.
 
-    The order is that of priority, then of grants. A first token corrects the
-    model: it ends the prompt, whatever is believed to be left of it.
+    Prompts are ordered by priority, then by grant. A first token corrects the
+    model: it removes the prompt, regardless of the estimated remaining tokens.
 
     Attributes:
         items: Prompts by reservation id.
         modelled_at: Loop time up to which the model has run, in seconds.
-        granted: Prompts seen so far.
+        granted_count: Prompts added so far.
     """
 
-    __slots__ = ("granted", "items", "modelled_at")
+    __slots__ = ("granted_count", "items", "modelled_at")
 
     def __init__(self) -> None:
         self.items: dict[str, PrefillItem] = {}
         self.modelled_at = monotonic_s()
-        self.granted = 0
+        self.granted_count = 0
 
     def update(
         self, reservations: Mapping[str, Reservation], rate: float
     ) -> None:
-        """Runs the model up to now.
+        """Advances the model to the present time.
 
         Args:
             reservations: The reservations on the endpoint, by id.
-            rate: Prompt tokens that it prefills in a second.
+            rate: Prefill rate of the endpoint, in prompt tokens per second.
         """
         for reservation in reservations.values():
             if reservation.id in self.items or not reservation.prefill_tokens:
                 continue
             self._advance(reservation.granted_at, rate)
-            self.granted += 1
+            self.granted_count += 1
             remaining_tokens = float(reservation.prefill_tokens)
             if self.must_wait_for_chunk(reservation.length_class):
                 remaining_tokens += CHUNK_DELAY_S * rate
             self.items[reservation.id] = PrefillItem(
                 length=reservation.length_class,
-                order=self.granted,
+                order=self.granted_count,
                 remaining_tokens=remaining_tokens,
             )
         self._advance(monotonic_s(), rate)
-        for held_id in list(self.items):
-            known = reservations.get(held_id)
-            if known is None or not known.prefill_tokens:
-                del self.items[held_id]
+        for reservation_id in list(self.items):
+            current = reservations.get(reservation_id)
+            if current is None or not current.prefill_tokens:
+                del self.items[reservation_id]
 
     def wait_s(self, length: LengthClass, rate: float) -> float:
-        """Returns the time that prompts before a new one take, in seconds.
+        """Returns the prefill time ahead of a new prompt, in seconds.
 
-        A prompt without its first token is never believed to be done.
+        A prompt without a first token always counts as unfinished.
         """
         return sum(
             max(i.remaining_tokens / rate, MIN_REMAINING_S)
@@ -91,10 +91,10 @@
         )
 
     def must_wait_for_chunk(self, length: LengthClass) -> bool:
-        """Tells whether a less urgent prompt must give way to a new one."""
+        """Returns whether a new prompt has to preempt a less urgent one."""
         items = self.items.values()
         if any(item.length <= length for item in items):
-            return False  # one of them is in prefill, or goes first
+            return False  # one of them is in prefill or takes precedence
         return any(item.remaining_tokens for item in items)
 
     def _advance(self, until: float, rate: float) -> None:
--- a/src/auburnswitch/endpoints/client.py
+++ b/src/auburnswitch/endpoints/client.py
@@ -1,4 +1,4 @@
-"""Sends requests to endpoints and reads their answers."""
+"""Sends requests to endpoints and reads their responses."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
     Attributes:
         sequence: Number of the frame in its stream, from 0.
-        text: Text it adds to the answer.
+        text: Text that the frame appends to the answer.
         finish_reason: Why the answer ended, empty before its end.
         usage: Token counts, in the last frame.
     """
@@ -50,14 +50,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Attempt:
-    """One try to run a request on an endpoint."""
+    """One attempt to run a request on an endpoint."""
 
     request_id: str
     number: int
     member_id: str
 
     def headers(self) -> dict[str, str]:
-        """Returns the headers that name the attempt."""
+        """Returns the headers that identify the attempt."""
         return {
             "X-Request-Id": self.request_id,
             "X-Attempt": str(self.number),
@@ -66,12 +66,12 @@
 
 
 class EndpointFailureError(Exception):
-    """An endpoint did not give a whole answer.
+    """An endpoint did not return a complete response.
 
     Attributes:
-        sent: Some of the request may have reached the endpoint.
-        lost: The endpoint refused or dropped the connection.
-        status: HTTP status of the endpoint's refusal, 0 if there is none.
+        sent: Whether part of the request may have reached the endpoint.
+        lost: Whether the endpoint refused or dropped the connection.
+        status: HTTP status of the error response, 0 if there is none.
     """
 
     def __init__(
@@ -84,18 +84,18 @@
 
 
 def _guard_trace() -> aiohttp.TraceConfig:
-    """Returns a trace that asks a request's guard before its first byte.
+    """Returns a trace that calls a request's guard before its first byte.
 
     The guard is called once the connection is ready, with no ``await``
-    between it and the writing of the request's head.
+    between the guard and the write of the request's header.
     """
     trace = aiohttp.TraceConfig()
-    trace.on_request_headers_sent.append(_ask_guard)  # just before it is sent
+    trace.on_request_headers_sent.append(_call_guard)  # runs before sending
     trace.freeze()
     return trace
 
 
-async def _ask_guard(_: Any, context: Any, __: Any) -> None:
+async def _call_guard(_: Any, context: Any, __: Any) -> None:
     guard = context.trace_request_ctx
     if guard is not None:
         guard()
@@ -105,8 +105,8 @@
     """Calls endpoints over HTTP.
 
     Attributes:
-        session: HTTP session the calls go through.
-        settings: Bounds of the calls.
+        session: HTTP session of the calls.
+        settings: Timeouts of the calls.
     """
 
     __slots__ = ("session", "settings")
@@ -138,13 +138,14 @@
             **options: Further options of the HTTP call.
 
         Raises:
-            EndpointFailureError: The endpoint is lost or does not answer.
+            EndpointFailureError: The connection failed or was lost, or the
+                call timed out.
         """
         url = f"http://{spec.host}:{spec.port}{path}"
         timeout = aiohttp.ClientTimeout(
             total=None,
             sock_connect=self.settings.connect_timeout_s,
-            sock_read=None,  # callers of this class bound their own reads
+            sock_read=None,  # callers of this class set their own read timeouts
         )
         try:
             async with self.session.request(
@@ -183,11 +184,12 @@
             spec: The endpoint.
             path: Path at the endpoint.
             body: JSON body.
-            attempt: Names the attempt.
+            attempt: Identifies the attempt.
             guard: Called right before the first byte is sent; may raise.
 
         Raises:
-            EndpointFailureError: The stream ended before its explicit end.
+            EndpointFailureError: The endpoint reported an error, or the stream
+                ended without its end marker.
         """
         headers = attempt.headers()
         async with self.request(
@@ -200,11 +202,11 @@
     async def resume(
         self, spec: Endpoint, attempt: Attempt, sequence: int
     ) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
-        """Streams an attempt again from a sequence number on.
+        """Resumes the stream of an attempt from a sequence number.
 
         Raises:
-            EndpointFailureError: The endpoint no longer has the stream, or it
-                ended before its explicit end.
+            EndpointFailureError: The endpoint no longer has the stream, or the
+                stream ended without its end marker.
         """
         path = f"/v1/streams/{attempt.request_id}/{attempt.number}"
         async with self.request(
@@ -215,7 +217,7 @@
                 yield frames
 
     async def read_boot_id(self, spec: Endpoint) -> str:
-        """Returns an endpoint's present start, empty without an answer."""
+        """Returns an endpoint's current boot id, empty if it can't be read."""
         with contextlib.suppress(
             EndpointFailureError, TimeoutError, ValueError, LookupError
         ):
@@ -227,7 +229,7 @@
         return ""
 
     async def free_kv_caches(self, spec: Endpoint, attempt: Attempt) -> bool:
-        """Frees the KV caches of an attempt; returns whether none is left."""
+        """Frees the KV caches of an attempt; returns whether all are freed."""
         with contextlib.suppress(
             EndpointFailureError, TimeoutError, ValueError, LookupError
         ):
@@ -236,11 +238,11 @@
                 self.request(spec, "GET", "/v1/kv") as response,
             ):
                 caches = (await response.json())["caches"]
-            wanted = (attempt.request_id, attempt.number)
+            attempt_key = (attempt.request_id, attempt.number)
             freed = [
                 await self.delete(spec, f"/v1/kv/{cache['kv_id']}")
                 for cache in caches
-                if (cache["request_id"], cache["attempt"]) == wanted
+                if (cache["request_id"], cache["attempt"]) == attempt_key
             ]
             return all(freed)
         return False
@@ -249,13 +251,13 @@
         """Cancels an attempt, so that the endpoint frees its memory.
 
         Returns:
-            Whether the endpoint runs it no longer.
+            Whether the endpoint no longer runs the attempt.
         """
         path = f"/v1/streams/{attempt.request_id}/{attempt.number}"
         return await self.delete(spec, path)
 
     async def delete(self, spec: Endpoint, path: str) -> bool:
-        """Deletes a resource of an endpoint; returns whether it is gone."""
+        """Deletes a resource of an endpoint; returns whether it is deleted."""
         with contextlib.suppress(EndpointFailureError, TimeoutError):
             async with (
                 asyncio.timeout(self.settings.connect_timeout_s),
@@ -280,10 +282,10 @@
 async def _read_frames(
     response: aiohttp.ClientResponse, attempt: Attempt
 ) -> AsyncIterator[list[StreamFrame | MisroutedFrame]]:
-    rest = b""
+    partial_line = b""
     while chunk := await response.content.readany():
-        lines = (rest + chunk).split(b"\n")
-        rest = lines.pop()
+        lines = (partial_line + chunk).split(b"\n")
+        partial_line = lines.pop()
         frames = []
         for line in lines:
             if not line.startswith(_DATA):
@@ -292,13 +294,13 @@
             if payload == _DONE:
                 if frames:
                     yield frames
-                await response.read()  # at its end the connection is kept
+                await response.read()  # keeps the connection reusable
                 return
             frames.append(_parse_frame(payload, attempt))
         if frames:
             yield frames
     raise EndpointFailureError(
-        "the stream ended without its end mark", sent=True, lost=True
+        "the stream ended without its end marker", sent=True, lost=True
     )
 
 
@@ -326,7 +328,7 @@
         )
     except (ValueError, LookupError, TypeError, AttributeError) as error:
         raise EndpointFailureError(
-            "the endpoint sent a frame that cannot be read",
+            "the endpoint sent a malformed frame",
             sent=True,
             lost=False,
         ) from error
--- a/src/auburnswitch/endpoints/endpoint_manager.py
+++ b/src/auburnswitch/endpoints/endpoint_manager.py
@@ -39,32 +39,32 @@
 
     from auburnswitch.configuration.state import ConfigState
     from auburnswitch.endpoints.load_report import LoadReport
-    from auburnswitch.endpoints.rights import StrictOwnership
+    from auburnswitch.endpoints.rights import EndpointLeases
     from auburnswitch.members.member_view import MemberView
     from auburnswitch.observe.invariants import Invariants
     from auburnswitch.schema.settings import Settings
 
 MAX_REPLY_HINTS: Final = 3
-HINT_BATCH_S: Final = 0.05  # heartbeats to peers spread over their interval
+HINT_BATCH_S: Final = 0.05  # heartbeats to peers are spread over an interval
 _NEVER: Final = float("-inf")
 
 
 class EndpointManager:
-    """The ledgers of this daemon's endpoints.
+    """Manages the ledgers and queues of the endpoints this daemon owns.
 
     Attributes:
-        is_struck: Tells by a fingerprint whether a request was in flight at a
-            crash.
-        rights: Tells whether this daemon is a strict owner.
-        cold_gate: Tells whether cold endpoints may be used.
-        admission_controller: Decides whether a request gets room.
-        owners: Owner of each endpoint by the live view.
+        is_struck: Returns whether a request with this fingerprint was in
+            flight at a crash.
+        leases: Ownership leases of this daemon.
+        cold_gate: Decides whether cold endpoints may be used.
+        admission_controller: Grants or refuses reservation requests.
+        owners: Owner of each endpoint among the live members.
         unschedulable: Endpoints that receive no new work.
         hints: Newest hint of each endpoint from its owner.
-        ledgers: Ledger by endpoint name; made on first use.
-        queues: Waiting requests by endpoint name.
+        ledgers: Ledger by endpoint name; created on first use.
+        queues: Queue of waiting requests by endpoint name.
         phase_transitions: Changes the phases of the ledgers.
-        reservation_reconciler: Keeps the ledgers in step with the holders'
+        reservation_reconciler: Reconciles the ledgers with the holders'
             reports.
     """
 
@@ -75,12 +75,12 @@
         "hints",
         "invariants",
         "is_struck",
+        "leases",
         "ledgers",
         "owners",
         "phase_transitions",
         "queues",
         "reservation_reconciler",
-        "rights",
         "settings",
         "state",
         "unschedulable",
@@ -94,14 +94,14 @@
         view: MemberView,
         state: ConfigState,
         invariants: Invariants,
-        rights: StrictOwnership,
+        leases: EndpointLeases,
     ) -> None:
         self.settings = settings
         self.view = view
         self.state = state
         self.invariants = invariants
-        self.rights = rights
-        self.cold_gate = ColdEndpointGate(rights=rights)
+        self.leases = leases
+        self.cold_gate = ColdEndpointGate(leases=leases)
         self.owners = OwnerMap(view=view, state=state)
         self.unschedulable = UnschedulableEndpoints(state=state)
         self.hints = HintCache()
@@ -118,7 +118,7 @@
             is_struck=lambda fingerprint: self.is_struck(fingerprint),
             unschedulable=self.unschedulable,
             cold_gate=self.cold_gate,
-            rights=rights,
+            leases=leases,
             invariants=invariants,
         )
         state.listeners.append(self.on_config_change)
@@ -136,7 +136,7 @@
         return self.owners.owner_of(endpoint)
 
     def owns(self, endpoint: str) -> bool:
-        """Tells whether this daemon owns an endpoint."""
+        """Returns whether this daemon owns an endpoint."""
         return self.owner_of(endpoint) == self.view.local_member.id
 
     def owned(self) -> list[str]:
@@ -144,7 +144,7 @@
         return self.owners.owned()
 
     def ledger(self, endpoint: str) -> EndpointLedger | None:
-        """Returns the ledger of a configured endpoint."""
+        """Returns the ledger of an endpoint, or None if it isn't configured."""
         spec = self.state.endpoints.get(endpoint)
         if spec is None:
             self.drop_ledger(endpoint)
@@ -161,7 +161,7 @@
         return ledger
 
     def drop_ledger(self, endpoint: str) -> None:
-        """Forgets an endpoint that this daemon no longer owns."""
+        """Removes an endpoint's ledger and refuses its waiting requests."""
         ledger = self.ledgers.pop(endpoint, None)
         if ledger is None:
             return
@@ -171,19 +171,19 @@
         del self.queues[endpoint]
 
     def is_unschedulable(self, endpoint: str) -> bool:
-        """Tells whether the endpoint may receive no new work."""
+        """Returns whether the endpoint may receive no new work."""
         return self.unschedulable.phase(endpoint) is not None
 
     async def reserve(
         self, request: ReserveRequest, member_id: str
     ) -> ReserveReply:
-        """Grants a reservation, waiting for room as long as asked."""
-        asked_at = monotonic_s()
+        """Grants a reservation, waiting for capacity up to `max_wait_s`."""
+        requested_at = monotonic_s()
         ledger = self.ledger(request.endpoint)
         if ledger is None or not self.owns(request.endpoint):
             return ReserveReply(code=ResultCode.NOT_OWNER)
         wait_s = self._wait_s(ledger, LengthClass(request.length_class))
-        refused = _refuse_wait(ledger, request, wait_s)
+        refused = _refuse_excessive_wait(ledger, request, wait_s)
         if refused is not None and not self.admission_controller.refusal(
             ledger, request
         ):
@@ -200,33 +200,33 @@
             if granted is not None and (
                 reply is None or reply.code != ResultCode.OK
             ):
-                ledger.end(granted.id)  # nobody waits for the reply
+                ledger.end(granted.id)  # the requester stopped waiting
                 self.wake(request.endpoint)
         if granted is not None and reply.code == ResultCode.OK:
-            reply.waited_s = granted.granted_at - asked_at
+            reply.waited_s = granted.granted_at - requested_at
         return reply
 
     def release(self, request: ReleaseRequest) -> ResultCode:
-        """Ends a reservation and learns from its outcome."""
+        """Ends a reservation and applies its outcome to the phase."""
         ledger = self.ledgers.get(request.endpoint)
         if ledger is None:
             return ResultCode.OK
-        known = ledger.reservations.get(request.reservation_id)
-        if known is not None and known.is_released:
-            return ResultCode.OK  # released before
-        if known is not None and request.used:
-            self.phase_transitions.note_outcome(ledger, known, request)
-        if known is not None and request.may_still_run:
-            known.released_at = monotonic_s()
+        reservation = ledger.reservations.get(request.reservation_id)
+        if reservation is not None and reservation.is_released:
+            return ResultCode.OK  # already released
+        if reservation is not None and request.used:
+            self.phase_transitions.record_outcome(ledger, reservation, request)
+        if reservation is not None and request.may_still_run:
+            reservation.released_at = monotonic_s()
         else:
             ledger.end(request.reservation_id)
         self.wake(request.endpoint)
         return ResultCode.OK
 
-    def note_progress(
+    def record_prefilled(
         self, endpoint: str, reservation_id: str, first_token_s: float = 0.0
     ) -> None:
-        """Takes note that a reservation's prompt has been prefilled."""
+        """Records that a reservation's prompt has been prefilled."""
         ledger = self.ledgers.get(endpoint)
         if ledger is None:
             return
@@ -234,67 +234,69 @@
         if reservation is None:
             return
         reservation.prefill_tokens = 0
-        self.phase_transitions.note_first_token(
+        self.phase_transitions.record_first_token(
             ledger, reservation, first_token_s
         )
         self.wake(endpoint)
 
-    def note_load(
-        self, endpoint: str, report: LoadReport, asked_at: float
+    def on_load_report(
+        self, endpoint: str, report: LoadReport, requested_at: float
     ) -> None:
-        """Takes a load report that the owner has read.
+        """Applies a load report that this owner has read.
 
         Args:
             endpoint: The endpoint's name.
             report: The report.
-            asked_at: Loop time at which it was asked for, in seconds.
+            requested_at: Loop time of the load request, in seconds.
         """
         ledger = self.ledger(endpoint)
         if ledger is None:
             return
-        self.unschedulable.note_engine_report(endpoint, leaving=report.leaving)
-        self.phase_transitions.note_load(ledger, report)
-        self.reservation_reconciler.note_load(ledger, report)
+        self.unschedulable.record_engine_report(
+            endpoint, leaving=report.leaving
+        )
+        self.phase_transitions.on_load_report(ledger, report)
+        self.reservation_reconciler.on_load_report(ledger, report)
         service = self.state.services.get(ledger.spec.service)
         if service is not None and service.kind == ServiceKind.PLAIN:
-            # A plain service lists no work; its load report must do.
+            # A plain service lists no work; its load report is used instead.
             ledger.work_listed_at = (
-                asked_at - self.settings.endpoints.load_lag_s
+                requested_at - self.settings.endpoints.load_lag_s
             )
-        self.cold_gate.update_strict_since(ledger)
+        self.cold_gate.update_lease_held_since(ledger)
         self.wake(endpoint)
 
     def on_model_load_ordered(self, ledger: EndpointLedger) -> None:
-        """Takes note that an engine was told to load a model."""
+        """Marks an endpoint cold after an order to load a model."""
         self.phase_transitions.mark_cold(ledger)
         self.wake(ledger.name)
 
-    def note_unreachable(self, endpoint: str) -> None:
-        """Takes note of a load report that could not be read."""
+    def record_unreachable(self, endpoint: str) -> None:
+        """Records a load report that could not be read."""
         ledger = self.ledger(endpoint)
         if ledger is not None:
-            self.phase_transitions.note_unreachable(ledger)
+            self.phase_transitions.record_unreachable(ledger)
             self.wake(endpoint)
 
     def fill_heartbeat(self, heartbeat: Heartbeat, _: str) -> None:
         """Adds hints of the owned endpoints to a heartbeat."""
-        made_at, hints = self.hint_batch
+        built_at, hints = self.hint_batch
         now = monotonic_s()
-        if now >= made_at + HINT_BATCH_S:
+        if now >= built_at + HINT_BATCH_S:
             hints = [self.local_hint(name) for name in self.owned()]
             self.hint_batch = (now, hints)
         heartbeat.hints = hints
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Takes a peer's hints and its running work on owned endpoints."""
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Applies a peer's hints and its running work on owned endpoints."""
         for hint in heartbeat.hints:
             self.hints.update(hint)
-        self.reservation_reconciler.note_report(
+        self.reservation_reconciler.record_report(
             heartbeat.sender.id, heartbeat.running
         )
 
     def on_config_change(self) -> None:
-        """Turns what has been closed cold and refuses what waits for it."""
+        """Marks unschedulable endpoints cold, refusing queued requests."""
         self.hint_batch = (_NEVER, [])
         for name, ledger in list(self.ledgers.items()):
             if self.is_unschedulable(name):
@@ -302,42 +304,45 @@
                 self.wake(name)
 
     def local_hint(self, endpoint: str) -> EndpointHint:
-        """Returns what peers should know of an owned endpoint."""
+        """Returns the hint of an owned endpoint to send to peers."""
         ledger = self.ledger(endpoint)
         if ledger is None:
             return EndpointHint(endpoint=endpoint)
         return self.build_hint(ledger)
 
     def latest_hint(self, endpoint: str) -> EndpointHint:
-        """Returns the own hint of an owned endpoint, else its owner's."""
+        """Returns the local hint of an owned endpoint, else the owner's."""
         if self.owns(endpoint):
             return self.local_hint(endpoint)
         return self.hints.newest(endpoint) or EndpointHint(endpoint=endpoint)
 
-    def note_paused(self) -> None:
-        """Distrusts everything after a pause of this daemon."""
+    def on_pause(self) -> None:
+        """Discards hints and phases and restarts recovery after a pause.
+
+        They may be out of date, as this daemon was paused.
+        """
         self.hints.clear()
         for ledger in self.ledgers.values():
-            self.phase_transitions.note_paused(ledger)
+            self.phase_transitions.on_pause(ledger)
             ledger.begin_recovery()
 
     def count_waiting(self) -> int:
-        """Returns the requests that wait in the queues of this owner."""
+        """Returns the number of requests queued at this owner."""
         return sum(len(queue.waiters) for queue in self.queues.values())
 
     def wake(self, endpoint: str) -> None:
-        """Grants what waits and has room now."""
+        """Grants the endpoint's queued requests that fit now."""
         queue = self.queues.get(endpoint)
         if queue is not None:
             queue.grant_waiting()
 
     def build_hint(self, ledger: EndpointLedger) -> EndpointHint:
-        """Returns what peers should know of a ledger's endpoint."""
-        closed = self.unschedulable.phase(ledger.name)
+        """Returns the hint of a ledger's endpoint."""
+        override = self.unschedulable.phase(ledger.name)
         load = ledger.load
         return EndpointHint(
             endpoint=ledger.name,
-            phase=ledger.phase if closed is None else closed,
+            phase=ledger.phase if override is None else override,
             free_tokens=ledger.spec.memory_tokens - ledger.reserved_tokens,
             short_wait_s=self._wait_s(ledger, LengthClass.SHORT),
             long_wait_s=self._wait_s(ledger, LengthClass.LONG),
@@ -350,11 +355,11 @@
         )
 
     def _wait_s(self, ledger: EndpointLedger, length: LengthClass) -> float:
-        waiting = 0
+        queued_tokens = 0
         if queue := self.queues.get(ledger.name):
-            waiting = queue.waiting_tokens(length)
+            queued_tokens = queue.waiting_tokens(length)
         wait_s = predicted_wait_s(ledger, length)
-        return wait_s + waiting / prefill_rate(ledger)
+        return wait_s + queued_tokens / prefill_rate(ledger)
 
     def _hints_for(self, request: ReserveRequest) -> list[EndpointHint]:
         names = self.state.endpoints_of(request.service)
@@ -365,15 +370,19 @@
         return own + [h for h in hints if h not in own][:MAX_REPLY_HINTS]
 
 
-def _refuse_wait(
+def _refuse_excessive_wait(
     ledger: EndpointLedger, request: ReserveRequest, wait_s: float
 ) -> ReserveReply | None:
-    """Refuses what would wait longer than its deadline or asker allows."""
-    late_s = deadline_overrun_s(ledger, request, wait_s)
-    if late_s > 0 and request.time_left_s:
+    """Refuses a wait beyond the request's deadline or its maximum wait.
+
+    Returns:
+        The refusal, or None if the wait is acceptable.
+    """
+    overrun_s = deadline_overrun_s(ledger, request, wait_s)
+    if overrun_s > 0 and request.time_left_s:
         return ReserveReply(
             code=ResultCode.QUEUE_FULL,
-            retry_after_s=max(MIN_RETRY_AFTER_S, late_s),
+            retry_after_s=max(MIN_RETRY_AFTER_S, overrun_s),
         )
     if 0 < request.max_start_wait_s < wait_s:
         return ReserveReply(
--- a/src/auburnswitch/endpoints/engine_reconciler.py
+++ b/src/auburnswitch/endpoints/engine_reconciler.py
@@ -1,4 +1,4 @@
-"""Makes engines match the model version and the role that are wanted."""
+"""Reconciles engines with their desired model version and role."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class ReconcileState:
-    """What is known of the orders of one endpoint.
+    """Reconciliation state of one endpoint.
 
     Attributes:
-        matched_at: When the engine was last read and matched, in seconds of
-            loop time.
-        matched_target: What it matched.
-        sent_at: When each order was sent, in seconds of loop time.
-        last_seen_number: Highest fencing number that the engine told.
+        matched_at: Loop time at which the engine last matched its target, in
+            seconds.
+        matched_target: Boot id, model version and role that it matched then.
+        sent_at: Loop time at which each order was sent, in seconds.
+        last_seen_number: Highest fencing number that the engine reported.
     """
 
     matched_at: float
@@ -64,12 +64,12 @@
 
 
 class EngineReconciler:
-    """Compares engines with what is wanted and orders the difference.
+    """Compares engines with their desired state and orders the difference.
 
     Attributes:
         endpoint_manager: Ledgers of the owned endpoints.
-        states: Orders by endpoint.
-        reconciling: Endpoints that are being compared.
+        states: Reconciliation state by endpoint.
+        reconciling: Endpoints whose reconciliation is running.
     """
 
     __slots__ = (
@@ -100,16 +100,16 @@
         self.reconciling: set[str] = set()
 
     async def run(self) -> None:
-        """Compares every owned engine for ever."""
+        """Reconciles every owned engine periodically, until cancelled."""
         while True:
             for name, ledger in list(self.endpoint_manager.ledgers.items()):
                 if name not in self.reconciling and self._is_due(ledger):
                     self.reconciling.add(name)
-                    self.tasks.start(self._compare(ledger), f"orders {name}")
+                    self.tasks.start(self._reconcile(ledger), f"orders {name}")
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def desired_orders(self, ledger: EndpointLedger) -> list[Order]:
-        """Returns the orders that would bring an engine about."""
+        """Returns the orders that establish an engine's desired state."""
         spec = ledger.spec
         service = self.endpoint_manager.state.services.get(spec.service)
         if service is None or service.kind != ServiceKind.MODEL:
@@ -127,7 +127,7 @@
     def _is_due(self, ledger: EndpointLedger) -> bool:
         if not self.desired_orders(ledger):
             return False
-        if not self.endpoint_manager.rights.holds_lease(ledger.name):
+        if not self.endpoint_manager.leases.holds_lease(ledger.name):
             return False
         state = self.states.get(ledger.name)
         if state is None or state.matched_target != self._match_key(ledger):
@@ -138,7 +138,7 @@
         spec = ledger.spec
         return (ledger.boot_id, spec.model_version, spec.role)
 
-    async def _compare(self, ledger: EndpointLedger) -> None:
+    async def _reconcile(self, ledger: EndpointLedger) -> None:
         state = self.states.setdefault(
             ledger.name,
             ReconcileState(matched_at=0.0, matched_target=(), sent_at={}),
@@ -147,7 +147,9 @@
             key = self._match_key(ledger)
             current = await self._read(ledger)
             missing = [
-                o for o in self.desired_orders(ledger) if not _done(o, current)
+                o
+                for o in self.desired_orders(ledger)
+                if not _is_applied(o, current)
             ]
             if not missing:
                 state.matched_target = key
@@ -158,7 +160,7 @@
             for order in missing:
                 await self._send(ledger, state, order)
         except (EndpointFailureError, TimeoutError, LookupError, ValueError):
-            return  # read and compared again
+            return  # retried at the next check
         finally:
             self.reconciling.discard(ledger.name)
 
@@ -174,15 +176,15 @@
     ) -> None:
         sent_at = state.sent_at.get(order)
         if sent_at is not None and monotonic_s() < sent_at + ORDER_TIMEOUT_S:
-            return  # a load takes its time; the next reading shows its end
+            return  # a load takes time; a later read shows its completion
         if order.kind == "load_model" and not await self.load_limiter.may_load(
             order.name, order.version
         ):
             return
-        taken = await self.fencing_numbers.allocate(
+        allocation = await self.fencing_numbers.allocate(
             ledger.name, last_seen=state.last_seen_number
         )
-        match taken:
+        match allocation:
             case Result(tag="ok", ok=number):
                 await self._post(ledger, state, order, number)
             case _:
@@ -201,7 +203,7 @@
                 ledger.spec,
                 "POST",
                 "/v1/orders",
-                guard=lambda: self._check_rights(ledger),
+                guard=lambda: self._check_lease(ledger),
                 json=order.to_json(number),
             ) as response,
         ):
@@ -223,22 +225,23 @@
             version=order.version,
         )
 
-    def _check_rights(self, ledger: EndpointLedger) -> None:
-        """Checks the rights right before the first byte of an order.
+    def _check_lease(self, ledger: EndpointLedger) -> None:
+        """Checks the ownership lease right before the first byte of an order.
 
-        Strict rights begin only after every earlier owner's have run out, so
-        an engine that ignores fencing numbers gets no order of an old owner.
+        A lease begins only after the leases of all earlier owners have
+        expired, so even an engine that ignores fencing numbers receives no
+        order from an earlier owner.
 
         Raises:
-            EndpointFailureError: The rights have run out.
+            EndpointFailureError: The lease has expired.
         """
-        if not self.endpoint_manager.rights.holds_lease(ledger.name):
+        if not self.endpoint_manager.leases.holds_lease(ledger.name):
             raise EndpointFailureError(
-                "the strict rights have run out", sent=False, lost=False
+                "the ownership lease has expired", sent=False, lost=False
             )
 
 
-def _done(order: Order, current: dict[str, Any]) -> bool:
+def _is_applied(order: Order, current: dict[str, Any]) -> bool:
     if order.kind == "set_role":
         return current["role"] == order.name
     loaded = (current["model"], current["version"])
--- a/src/auburnswitch/endpoints/engine_work.py
+++ b/src/auburnswitch/endpoints/engine_work.py
@@ -1,4 +1,4 @@
-"""What an engine says it has in memory."""
+"""Reads the streams and KV caches in an engine's memory."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AttemptKey:
-    """Names one attempt and the daemon that sent it."""
+    """Identifies one attempt and the daemon that sent it."""
 
     member_id: str
     request_id: str
@@ -27,9 +27,9 @@
     """A stream or a KV cache in an engine's memory.
 
     Attributes:
-        key: Attempt it belongs to.
-        path: Resource whose deletion frees it.
-        tokens: Memory it takes, in tokens.
+        key: Attempt that it belongs to.
+        path: Path of the resource whose deletion frees it.
+        tokens: Memory in use, in tokens.
     """
 
     key: AttemptKey
@@ -43,17 +43,21 @@
     """Reads an engine's running streams and its KV caches.
 
     Raises:
-        EndpointFailureError: The engine gave no usable answer.
-        TimeoutError: It did not answer in time.
+        EndpointFailureError: The engine returned no usable response.
+        TimeoutError: The engine did not respond in time.
     """
     streams = await _read(client, spec, "/v1/streams")
     caches = await _read(client, spec, "/v1/kv")
     try:
-        works = [_stream(item) for item in streams["streams"] if _runs(item)]
-        return works + [_cache(item) for item in caches["caches"]]
+        work_items = [
+            _stream(item) for item in streams["streams"] if _runs(item)
+        ]
+        return work_items + [_cache(item) for item in caches["caches"]]
     except (LookupError, TypeError, ValueError) as error:
         raise EndpointFailureError(
-            "the engine's lists cannot be read", sent=True, lost=False
+            "the engine's stream or KV cache list is malformed",
+            sent=True,
+            lost=False,
         ) from error
 
 
--- a/src/auburnswitch/endpoints/fencing.py
+++ b/src/auburnswitch/endpoints/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing numbers of orders, kept in the platform's store."""
+"""Allocates fencing numbers for orders in the platform's store."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FencingNumberAllocator:
-    """Takes numbers by conditional update, so that no two are equal.
+    """Allocates unique numbers by conditional updates of the store.
 
     Attributes:
         store: The platform's store.
@@ -38,14 +38,14 @@
     async def allocate(
         self, endpoint: str, *, last_seen: int = 0
     ) -> Result[int, str]:
-        """Takes the next number of an endpoint.
+        """Allocates the next number of an endpoint.
 
         Args:
             endpoint: The endpoint's name.
-            last_seen: Number that the engine has seen, if it told.
+            last_seen: Number that the engine reported, 0 if it has not.
 
         Returns:
-            The number, or why there is none.
+            The number, or the reason why none was allocated.
         """
         key = FENCING_PREFIX + endpoint
         match await self.store.get(key):
@@ -60,7 +60,7 @@
             case Result(tag="ok"):
                 return Ok(number)
             case Result(error=VersionConflict()):
-                return Error("another daemon took a number")
+                return Error("another daemon allocated a number")
             case Result(error=StoreUnavailable(outcome_unknown=True)):
                 return await self._read_back(key, number)
             case _:
@@ -70,10 +70,10 @@
         match await self.store.get(key):
             case Result(tag="ok", ok=stored):
                 record, _ = _decode(stored)
-                mine = record.member_id == self.member_id
-                if mine and record.number == number:
+                is_own = record.member_id == self.member_id
+                if is_own and record.number == number:
                     return Ok(number)
-        return Error("the outcome of taking a number is not known")
+        return Error("the outcome of the allocation is unknown")
 
 
 def _decode(stored: StoredObject | None) -> tuple[FencingRecord, int]:
--- a/src/auburnswitch/endpoints/groups.py
+++ b/src/auburnswitch/endpoints/groups.py
@@ -1,4 +1,4 @@
-"""Reserves parts of several endpoints, all or none."""
+"""Reserves capacity on several endpoints, all or none."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 ) -> list[HeldReservation] | ReserveReply:
     """Reserves every part of a group, or none.
 
-    The parts are asked for in the order of the endpoints' names, so that two
-    groups never wait for each other. Their room is kept until it is released.
+    The parts are requested in the order of the endpoints' names, so that two
+    groups can't deadlock. The reservations are held until they are released.
 
     Args:
-        client: This daemon's reservations.
+        client: Client that holds this daemon's reservations.
         requests: One request for each endpoint.
 
     Returns:
@@ -51,7 +51,7 @@
     succeeded: bool = False,
     may_still_run: bool = False,
 ) -> None:
-    """Gives every part of a group back, without waiting for the owners."""
+    """Releases every part of a group, without waiting for the owners."""
     for held in group:
         client.membership.tasks.start(
             client.release(
--- a/src/auburnswitch/endpoints/handover.py
+++ b/src/auburnswitch/endpoints/handover.py
@@ -1,4 +1,4 @@
-"""Hands what an owner knows to its successors."""
+"""Hands the state of an owner's endpoints over to its successors."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Handover:
-    """Fills and takes hand-overs.
+    """Fills and applies hand-over requests.
 
     Attributes:
         endpoint_manager: Ledgers of the owned endpoints.
@@ -22,7 +22,7 @@
         self.endpoint_manager = endpoint_manager
 
     def fill_request(self, request: HandoverRequest) -> None:
-        """Adds what a successor must know of its new endpoints."""
+        """Adds the hints and reservations of the endpoints in the request."""
         for name in request.endpoints:
             ledger = self.endpoint_manager.ledgers.get(name)
             if ledger is None:
@@ -34,17 +34,17 @@
 
     def apply_request(self, request: HandoverRequest) -> None:
         """Takes over the endpoints of a leaving owner."""
-        table = self.endpoint_manager
-        status = table.view.peers.get(request.member_id)
+        manager = self.endpoint_manager
+        status = manager.view.peers.get(request.member_id)
         if status is not None:
-            status.leaving = True  # its endpoints have a new owner now
+            status.leaving = True  # its endpoints now have new owners
         for hint in request.states:
-            table.hints.update(hint)
-            ledger = table.ledger(hint.endpoint)
+            manager.hints.update(hint)
+            ledger = manager.ledger(hint.endpoint)
             if ledger is not None:
                 ledger.recovering = False
         for work, holder in zip(request.running, request.holders, strict=True):
-            ledger = table.ledger(work.endpoint)
+            ledger = manager.ledger(work.endpoint)
             if ledger is not None:
                 ledger.record_reported_work(work, holder)
 
--- a/src/auburnswitch/endpoints/hints.py
+++ b/src/auburnswitch/endpoints/hints.py
@@ -1,4 +1,4 @@
-"""What owners tell of their endpoints."""
+"""Caches the hints that owners publish about their endpoints."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """The newest hint of each endpoint.
 
     Attributes:
-        hints: Hint and the loop time at which it came, by endpoint.
+        hints: Loop time of receipt, in seconds, and hint, by endpoint.
     """
 
     __slots__ = ("hints",)
@@ -23,25 +23,25 @@
         self.hints: dict[str, tuple[float, EndpointHint]] = {}
 
     def update(self, hint: EndpointHint) -> None:
-        """Takes a hint."""
+        """Stores a hint as the newest of its endpoint."""
         self.hints[hint.endpoint] = (monotonic_s(), hint)
 
     def newest(
         self, endpoint: str, *, max_age_s: float | None = None
     ) -> EndpointHint | None:
-        """Returns the newest hint unless it is too old."""
-        noted_at, hint = self.hints.get(endpoint, (0.0, None))
-        if max_age_s is not None and noted_at < monotonic_s() - max_age_s:
+        """Returns the newest hint, or None if it is missing or too old."""
+        received_at, hint = self.hints.get(endpoint, (0.0, None))
+        if max_age_s is not None and received_at < monotonic_s() - max_age_s:
             return None
         return hint
 
     def age_s(self, endpoint: str) -> float:
-        """Returns the time since the newest hint came, in seconds."""
-        noted_at, _ = self.hints.get(endpoint, (0.0, None))
-        return monotonic_s() - noted_at
+        """Returns the time since the newest hint was received, in seconds."""
+        received_at, _ = self.hints.get(endpoint, (0.0, None))
+        return monotonic_s() - received_at
 
     def clear(self) -> None:
-        """Forgets all hints, which may be out of date after a pause."""
+        """Discards all hints, which may be out of date after a pause."""
         self.hints.clear()
 
 
--- a/src/auburnswitch/endpoints/instance_list.py
+++ b/src/auburnswitch/endpoints/instance_list.py
@@ -1,4 +1,4 @@
-"""Follows the platform's list of instances for leaving endpoints."""
+"""Reads the platform's list of instances to find leaving endpoints."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class InstanceListReader:
-    """Reads the list in one daemon, which tells the others.
+    """Reads the list in one daemon, which reports it to the others.
 
-    The next daemon in rendezvous order reads it when the reader has told
-    nothing for some readings, and so on.
+    The next daemon in rendezvous order takes over once the reader has missed
+    MISSED_READS_BEFORE_FAILOVER reads, and so on.
 
     Attributes:
         store: The platform's store.
-        endpoint_manager: Learns which instances are leaving.
-        last_read_succeeded: Whether this daemon's last reading succeeded.
-        updated_at: Loop time of the newest reading known, in seconds.
+        endpoint_manager: Receives the leaving instances.
+        last_read_succeeded: Whether this daemon's last read succeeded.
+        updated_at: Loop time of the last update by any reader, in seconds.
     """
 
     __slots__ = (
@@ -57,16 +57,16 @@
             await asyncio.sleep(interval_s)
 
     def fill_heartbeat(self, heartbeat: Heartbeat, _: str) -> None:
-        """Tells a peer which instances are leaving."""
+        """Reports the leaving instances to a peer."""
         heartbeat.reads_instances = self.last_read_succeeded
         if self.last_read_succeeded:
             leaving = self.endpoint_manager.unschedulable.leaving_instances
             heartbeat.leaving_endpoints = sorted(leaving)
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Learns from the reader which instances are leaving."""
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Applies the leaving instances that the reader reports."""
         if heartbeat.reads_instances:
-            self._note(set(heartbeat.leaving_endpoints))
+            self._update_leaving(set(heartbeat.leaving_endpoints))
 
     def _is_reader(self) -> bool:
         view = self.endpoint_manager.view
@@ -86,7 +86,7 @@
     async def _read(self) -> bool:
         match await self.store.list_instances():
             case Result(tag="ok", ok=instances):
-                self._note(self._leaving(instances))
+                self._update_leaving(self._leaving(instances))
                 return True
         return False
 
@@ -95,7 +95,7 @@
         used = {spec.instance or name for name, spec in endpoints.items()}
         return {i.name for i in instances if i.leaving and i.name in used}
 
-    def _note(self, leaving: set[str]) -> None:
+    def _update_leaving(self, leaving: set[str]) -> None:
         self.updated_at = monotonic_s()
         if leaving != self.endpoint_manager.unschedulable.leaving_instances:
             self.endpoint_manager.unschedulable.leaving_instances = leaving
--- a/src/auburnswitch/endpoints/ledger.py
+++ b/src/auburnswitch/endpoints/ledger.py
@@ -1,4 +1,4 @@
-"""Work granted on one endpoint by its owner."""
+"""Tracks the work that an owner has granted on one endpoint."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from auburnswitch.endpoints.load_report import LoadReport
     from auburnswitch.schema.objects import Endpoint
 
-MAX_ENDED_KEPT: Final = 1024
+MAX_ENDED_RESERVATIONS: Final = 1024
 _NEVER: Final = float("-inf")
 
 
@@ -37,28 +37,30 @@
     Attributes:
         name: The endpoint's name.
         spec: The endpoint as configured.
-        warm_up: What load the endpoint can bear.
-        backlog: How far the endpoint has come with the prompts.
-        reservations: Granted room, by reservation id.
-        ended: Ids of reservations that ended lately.
-        ended_attempts: Their requests and attempts.
+        warm_up: The endpoint's phase and load limits.
+        backlog: Estimated prefill progress of the granted prompts.
+        reservations: Granted reservations by id.
+        ended: Ids of recently ended reservations.
+        ended_attempts: Request ids and attempts of those reservations.
         unreserved_tokens: Tokens of the endpoint's work that no reservation
             covers, by resource.
         load: Newest load report that this owner has read.
-        load_failures: Load reports in a row that could not be read.
-        recovery_started_at: When this daemon became the owner, in seconds of
-            loop time.
-        work_listed_at: When the endpoint's streams were last compared, in
-            seconds of loop time.
-        strict_since: When the present strict rights were first seen, in
-            seconds of loop time, None without them.
-        recovering: Peers may still have unreported work on the endpoint.
+        load_failures: Consecutive load reports that could not be read.
+        recovery_started_at: Loop time of the take-over, or of the end of this
+            daemon's last pause, in seconds.
+        work_listed_at: Loop time of the request for the newest list of the
+            endpoint's work, in seconds.
+        lease_held_since: Loop time at which the current ownership lease was
+            first observed, in seconds, None without a lease.
+        recovering: Whether peers may still have unreported work on the
+            endpoint.
     """
 
     __slots__ = (
         "backlog",
         "ended",
         "ended_attempts",
+        "lease_held_since",
         "load",
         "load_failures",
         "name",
@@ -66,7 +68,6 @@
         "recovery_started_at",
         "reservations",
         "spec",
-        "strict_since",
         "unreserved_tokens",
         "warm_up",
         "work_listed_at",
@@ -81,7 +82,7 @@
         self.ended: OrderedDict[str, None] = OrderedDict()
         self.ended_attempts: OrderedDict[tuple[str, int], None] = OrderedDict()
         self.unreserved_tokens: dict[str, int] = {}
-        self.strict_since: float | None = None
+        self.lease_held_since: float | None = None
         self.load: LoadReport | None = None
         self.load_failures = 0
         self.recovery_started_at = monotonic_s()
@@ -90,22 +91,22 @@
 
     @property
     def phase(self) -> EndpointPhase:
-        """What load the endpoint can bear."""
+        """The endpoint's phase, which sets its load limits."""
         return self.warm_up.phase
 
     @property
     def boot_id(self) -> str:
-        """The endpoint's present start."""
+        """Boot id of the endpoint's current incarnation."""
         return self.warm_up.boot_id
 
     @property
     def is_cold(self) -> bool:
-        """Whether only the small bound of a cold endpoint may be used."""
-        return self.warm_up.is_strict
+        """Whether the limits of a cold endpoint apply."""
+        return self.warm_up.requires_lease
 
     @property
     def limits(self) -> LoadLimits:
-        """The most work at present; less while a take-over settles."""
+        """The current load limits, reduced during recovery."""
         limits = self.warm_up.limits(self.spec)
         if self.recovering and not self.is_cold:
             limits.running = max(1, limits.running // 2)
@@ -113,19 +114,19 @@
 
     @property
     def max_running(self) -> int:
-        """Requests that may run at one time in the present phase."""
+        """Requests that may run concurrently in the current phase."""
         return self.limits.running
 
     @property
     def running(self) -> int:
-        """Requests granted, or at least those that the endpoint reports."""
+        """Granted requests and those that no reservation covers."""
         return len(self.reservations) + self.unreserved_count
 
     @property
     def unreserved_count(self) -> int:
         """Requests on the endpoint that no reservation covers.
 
-        Load reports count while a take-over settles only, since they lag.
+        Load reports count only during recovery, since they lag.
         """
         if not self.recovering or self.load is None:
             return len(self.unreserved_tokens)
@@ -136,20 +137,20 @@
 
     @property
     def is_work_listed(self) -> bool:
-        """Whether the endpoint's work was listed since rights are strict."""
-        if self.strict_since is None:
+        """Whether the endpoint's work was listed since the lease began."""
+        if self.lease_held_since is None:
             return False
-        return self.work_listed_at >= self.strict_since
+        return self.work_listed_at >= self.lease_held_since
 
     @property
     def prompt_tokens(self) -> int:
-        """Prompt tokens of all work that is known."""
+        """Prompt tokens of all known work."""
         granted = sum(r.prompt_tokens for r in self.reservations.values())
         return granted + sum(self.unreserved_tokens.values())
 
     @property
     def reserved_tokens(self) -> int:
-        """Memory taken by all work that is known, in tokens."""
+        """Memory reserved for all known work, in tokens."""
         granted = sum(r.tokens for r in self.reservations.values())
         return granted + sum(self.unreserved_tokens.values())
 
@@ -159,13 +160,13 @@
         return sum(r.prefill_tokens for r in self.reservations.values())
 
     def begin_recovery(self) -> None:
-        """Waits again for the reports of every live member."""
+        """Starts to wait for the reports of every live member."""
         self.recovery_started_at = monotonic_s()
         self.recovering = True
-        self.strict_since = None
+        self.lease_held_since = None
 
     def admits(self, request: ReserveRequest) -> bool:
-        """Tells whether the phase allows one more request."""
+        """Returns whether the phase allows one more request."""
         limits = self.limits
         if self.running >= limits.running:
             return False
@@ -175,15 +176,15 @@
         return tokens <= limits.prompt_tokens
 
     def admits_when_idle(self, request: ReserveRequest) -> bool:
-        """Tells whether the phase allows a request when nothing else runs."""
+        """Returns whether the phase allows a request on an idle endpoint."""
         if not self.is_cold:
-            return True  # one request may be larger than the risen bound
+            return True  # a single request may exceed the token limit
         return request.prompt_tokens <= self.limits.prompt_tokens
 
     def grant(
         self, request: ReserveRequest, member_id: str, reservation_id: str
     ) -> Reservation:
-        """Grants room to a request that fits."""
+        """Creates the reservation of a request that fits."""
         reservation = Reservation(
             id=reservation_id,
             member_id=member_id,
@@ -202,38 +203,40 @@
         return reservation
 
     def record_reported_work(self, work: RunningWork, member_id: str) -> None:
-        """Takes a holder's report of one reservation."""
+        """Records a holder's report of one reservation."""
         if work.reservation_id in self.ended:
-            return  # the report crossed its release
-        known = self.reservations.get(work.reservation_id)
-        if known is None:
-            known = reservation_from_report(work, member_id, self.warm_up)
-            self.reservations[known.id] = known
-        known.attempt = work.attempt or known.attempt
-        known.prefill_tokens = min(known.prefill_tokens, work.prefill_tokens)
-        known.reported_at = monotonic_s()
-        known.missed_reports = 0
+            return  # the report was sent before the release
+        reservation = self.reservations.get(work.reservation_id)
+        if reservation is None:
+            reservation = reservation_from_report(work, member_id, self.warm_up)
+            self.reservations[reservation.id] = reservation
+        reservation.attempt = work.attempt or reservation.attempt
+        reservation.prefill_tokens = min(
+            reservation.prefill_tokens, work.prefill_tokens
+        )
+        reservation.reported_at = monotonic_s()
+        reservation.missed_reports = 0
 
     def end(self, reservation_id: str) -> Reservation | None:
-        """Ends a reservation; returns it if it had not ended before."""
-        _remember(self.ended, reservation_id)
+        """Ends a reservation; returns it unless it has already ended."""
+        _add_bounded(self.ended, reservation_id)
         reservation = self.reservations.pop(reservation_id, None)
         if reservation is not None:
             attempt = (reservation.request_id, reservation.attempt)
-            _remember(self.ended_attempts, attempt)
+            _add_bounded(self.ended_attempts, attempt)
         return reservation
 
     def find_by_request(self, request: ReserveRequest) -> Reservation | None:
-        """Returns the reservation granted to one call, if there is one."""
+        """Returns the reservation granted to this request object, if any."""
         for reservation in self.reservations.values():
             if reservation.request is request:
                 return reservation
         return None
 
 
-def _remember(entries: OrderedDict[Any, None], key: Any) -> None:
+def _add_bounded(entries: OrderedDict[Any, None], key: Any) -> None:
     entries[key] = None
-    if len(entries) > MAX_ENDED_KEPT:
+    if len(entries) > MAX_ENDED_RESERVATIONS:
         entries.popitem(last=False)
 
 
--- a/src/auburnswitch/endpoints/load_monitor.py
+++ b/src/auburnswitch/endpoints/load_monitor.py
@@ -22,13 +22,13 @@
 
 
 class LoadMonitor:
-    """Runs one task for each owned endpoint.
+    """Polls the load of each owned endpoint in a task of its own.
 
     Attributes:
-        endpoint_manager: Where the reports go.
-        orphans: Frees memory that no one claims.
+        endpoint_manager: Receives the load reports.
+        orphans: Frees engine memory that no daemon claims.
         pollers: Running task of each owned endpoint.
-        updated_at: Loop time of the last look at ownership, in seconds.
+        updated_at: Loop time of the last ownership check, in seconds.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         self.updated_at = monotonic_s()
 
     async def run(self) -> None:
-        """Starts and ends pollers as ownership changes."""
+        """Starts and cancels pollers as ownership changes."""
         while True:
             self._check_pause()
             self._update()
@@ -72,7 +72,7 @@
     def _check_pause(self) -> None:
         now = monotonic_s()
         if now - self.updated_at > self.settings.members.suspect_after_s:
-            self.endpoint_manager.note_paused()
+            self.endpoint_manager.on_pause()
         self.updated_at = now
 
     def _update(self) -> None:
@@ -93,7 +93,7 @@
             await asyncio.sleep(self.settings.endpoints.load_interval_s)
 
     async def _read_load(self, name: str, spec: Endpoint) -> None:
-        asked_at = monotonic_s()
+        requested_at = monotonic_s()
         url = f"http://{spec.host}:{spec.port}/load"
         try:
             async with (
@@ -110,9 +110,9 @@
             log_event(
                 EventId.ENDPOINT_UNREACHABLE, endpoint=name, reason=repr(error)
             )
-            self.endpoint_manager.note_unreachable(name)
+            self.endpoint_manager.record_unreachable(name)
             return
-        self.endpoint_manager.note_load(name, report, asked_at)
+        self.endpoint_manager.on_load_report(name, report, requested_at)
         ledger = self.endpoint_manager.ledgers.get(name)
         if ledger is not None:
             await self.orphans.collect_if_due(ledger)
--- a/src/auburnswitch/endpoints/load_report.py
+++ b/src/auburnswitch/endpoints/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of endpoints."""
+"""Parses the load reports of endpoints."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadReport:
-    """The load of an endpoint a short time ago.
+    """The load of an endpoint, with a short lag.
 
     Attributes:
-        boot_id: Identifies one start of the endpoint.
-        running: Requests that run.
-        waiting: Requests that wait in the endpoint.
+        boot_id: Identifies one incarnation of the endpoint.
+        running: Running requests.
+        waiting: Requests queued at the endpoint.
         memory_used_tokens: Memory in use, in tokens.
         prefill_queued_tokens: Prompt tokens still to prefill.
-        leaving: The endpoint says that it is leaving.
+        leaving: Whether the endpoint reports that it is leaving.
     """
 
     boot_id: str
@@ -33,13 +33,13 @@
 
 
 def parse_load_report(body: Any) -> LoadReport:
-    """Builds a load report from the endpoint's answer.
+    """Builds a load report from the endpoint's response.
 
     Raises:
-        ValueError: The answer is no load report.
+        ValueError: The response is no load report.
     """
     if not isinstance(body, dict) or not body.get("boot_id"):
-        raise ValueError("the load report names no start of the endpoint")
+        raise ValueError("the load report has no boot_id")
     return LoadReport(
         boot_id=str(body["boot_id"]),
         running=_count(body.get("running")),
--- a/src/auburnswitch/endpoints/model_load_limiter.py
+++ b/src/auburnswitch/endpoints/model_load_limiter.py
@@ -41,7 +41,7 @@
         self.next_load_at = 0.0
 
     async def may_load(self, model: str, version: str) -> bool:
-        """Tells whether a load may start now, and counts it if so."""
+        """Returns whether a load may start now, and takes a token if so."""
         if monotonic_s() < self.next_load_at:
             return False
         rate = self.settings.weight_loads_per_second
@@ -49,9 +49,9 @@
         self.next_load_at = monotonic_s() + interval_s
         if not self.settings.weight_store_url:
             return True
-        return await self._ask(model, version)
+        return await self._request_load(model, version)
 
-    async def _ask(self, model: str, version: str) -> bool:
+    async def _request_load(self, model: str, version: str) -> bool:
         base = self.settings.weight_store_url.rstrip("/")
         url = f"{base}/weights/{model}/{version}"
         try:
--- a/src/auburnswitch/endpoints/orphans.py
+++ b/src/auburnswitch/endpoints/orphans.py
@@ -33,8 +33,8 @@
     """Work of an engine that no reservation covers.
 
     Attributes:
-        first_seen_at: Loop time at which it was first seen so, in seconds.
-        rounds: Comparisons in a row that found it so.
+        first_seen_at: Loop time at which it was first found, in seconds.
+        rounds: Consecutive comparisons that found it.
     """
 
     first_seen_at: float
@@ -42,7 +42,7 @@
 
 
 class OrphanCollector:
-    """Compares engines' lists with reservations.
+    """Compares engines' lists of work with reservations.
 
     Attributes:
         endpoint_manager: Ledgers of the owned endpoints.
@@ -66,29 +66,31 @@
         self.candidates: dict[tuple[str, str], OrphanCandidate] = {}
 
     def register(self, server: PeerServer) -> None:
-        """Registers the answer to other owners."""
+        """Registers the handler of other owners' claims requests."""
         server.handlers[ClaimsRequest] = self._on_claims
 
     async def collect_if_due(self, ledger: EndpointLedger) -> None:
-        """Reads an engine's lists if it is time to, and frees orphans."""
+        """Reads an engine's lists if they are due, and frees orphans."""
         if not self._is_due(ledger):
             return
-        asked_at = monotonic_s()
+        requested_at = monotonic_s()
         try:
-            works = await read_engine_work(self.client, ledger.spec)
+            work_items = await read_engine_work(self.client, ledger.spec)
         except (EndpointFailureError, TimeoutError):
             return
-        self._end_unheld(ledger, works, asked_at)
+        self._end_abandoned(ledger, work_items, requested_at)
         ledger.unreserved_tokens = {
             work.path: work.tokens
-            for work in works
+            for work in work_items
             if not _is_covered(ledger, work.key)
         }
-        ledger.work_listed_at = asked_at
-        unclaimed = [w for w in works if not self._is_claimed(ledger, w.key)]
+        ledger.work_listed_at = requested_at
+        unclaimed = [
+            w for w in work_items if not self._is_claimed(ledger, w.key)
+        ]
         self.endpoint_manager.wake(ledger.name)
-        for work in self._update_suspects(ledger, unclaimed):
-            await self._free_if_dead(ledger, work)
+        for work in self._update_candidates(ledger, unclaimed):
+            await self._free_if_orphaned(ledger, work)
 
     def _is_due(self, ledger: EndpointLedger) -> bool:
         service = self.endpoint_manager.state.services.get(ledger.spec.service)
@@ -106,22 +108,22 @@
             return True
         return ledger.load is not None and not ledger.load.is_empty
 
-    def _end_unheld(
+    def _end_abandoned(
         self,
         ledger: EndpointLedger,
-        works: list[EngineWork],
-        asked_at: float,
+        work_items: list[EngineWork],
+        requested_at: float,
     ) -> None:
-        """Ends what no one holds and the engine does not have either."""
+        """Ends abandoned reservations whose work the engine doesn't list."""
         ttl_s = self.endpoint_manager.settings.members.reservation_ttl_s
         is_abandoned = self.endpoint_manager.reservation_reconciler.is_abandoned
         for reservation in list(ledger.reservations.values()):
-            used_by = reservation.granted_at + ttl_s
+            latest_use_at = reservation.granted_at + ttl_s
             if reservation.released_at is not None:
-                used_by = reservation.released_at
-            if used_by > asked_at or not is_abandoned(reservation):
+                latest_use_at = reservation.released_at
+            if latest_use_at > requested_at or not is_abandoned(reservation):
                 continue
-            if not any(_matches(reservation, work.key) for work in works):
+            if not any(_matches(reservation, work.key) for work in work_items):
                 ledger.end(reservation.id)
 
     def _is_claimed(self, ledger: EndpointLedger, key: AttemptKey) -> bool:
@@ -131,40 +133,40 @@
             for reservation in ledger.reservations.values()
         )
 
-    def _update_suspects(
+    def _update_candidates(
         self, ledger: EndpointLedger, unclaimed: list[EngineWork]
     ) -> list[EngineWork]:
-        """Counts the rounds of unclaimed work; returns what has had enough."""
+        """Counts the rounds of unclaimed work; returns confirmed candidates."""
         now = monotonic_s()
         paths = {work.path for work in unclaimed}
         for name, path in list(self.candidates):
             if name == ledger.name and path not in paths:
                 del self.candidates[name, path]
-        ripe = []
+        confirmed = []
         for work in unclaimed:
-            suspect = self.candidates.get((ledger.name, work.path))
-            if suspect is None:
-                suspect = OrphanCandidate(first_seen_at=now)
-                self.candidates[ledger.name, work.path] = suspect
+            candidate = self.candidates.get((ledger.name, work.path))
+            if candidate is None:
+                candidate = OrphanCandidate(first_seen_at=now)
+                self.candidates[ledger.name, work.path] = candidate
                 continue
-            suspect.rounds += 1
-            if self._is_ripe(suspect):
-                ripe.append(work)
-        return ripe
+            candidate.rounds += 1
+            if self._is_confirmed(candidate):
+                confirmed.append(work)
+        return confirmed
 
-    def _is_ripe(self, suspect: OrphanCandidate) -> bool:
+    def _is_confirmed(self, candidate: OrphanCandidate) -> bool:
         settings = self.endpoint_manager.settings
         wait_s = (
             CONFIRMATION_ROUNDS * settings.members.heartbeat_interval_s
             + settings.endpoints.load_lag_s
         )
-        old = monotonic_s() >= suspect.first_seen_at + wait_s
-        return old and suspect.rounds > CONFIRMATION_ROUNDS
+        old_enough = monotonic_s() >= candidate.first_seen_at + wait_s
+        return old_enough and candidate.rounds > CONFIRMATION_ROUNDS
 
-    async def _free_if_dead(
+    async def _free_if_orphaned(
         self, ledger: EndpointLedger, work: EngineWork
     ) -> None:
-        if not await self._is_dead(ledger, work.key):
+        if not await self._is_orphaned(ledger, work.key):
             return
         if not await self.client.delete(ledger.spec, work.path):
             return
@@ -180,36 +182,42 @@
         )
         self.endpoint_manager.wake(ledger.name)
 
-    async def _is_dead(self, ledger: EndpointLedger, key: AttemptKey) -> bool:
-        """Tells whether the daemon that sent the work has it no longer."""
+    async def _is_orphaned(
+        self, ledger: EndpointLedger, key: AttemptKey
+    ) -> bool:
+        """Returns whether the daemon that sent the work no longer holds it."""
         view = self.endpoint_manager.view
         if key.member_id == view.local_member.id:
-            return not self._has(ledger.name, key.request_id, key.attempt)
+            return not self._holds_attempt(
+                ledger.name, key.request_id, key.attempt
+            )
         status = view.peers.get(key.member_id)
         oldest = monotonic_s() - view.settings.suspect_after_s
-        heard = status is not None and status.heard_at >= oldest
-        if heard:
-            return await self._is_given_up(ledger, key)
+        heard_recently = status is not None and status.heard_at >= oldest
+        if heard_recently:
+            return await self._is_disclaimed(ledger, key)
         if key.member_id in view.roster_ids():
-            return False  # it may be frozen or cut off
-        # Only the roster that a majority goes by shows who is gone.
-        return self.endpoint_manager.rights.holds_lease(ledger.name)
+            return False  # it may be frozen or partitioned
+        # Only the roster that a majority acknowledges shows who was removed.
+        return self.endpoint_manager.leases.holds_lease(ledger.name)
 
-    async def _is_given_up(
+    async def _is_disclaimed(
         self, ledger: EndpointLedger, key: AttemptKey
     ) -> bool:
         link = self.reservations.membership.links.get(key.member_id)
         if link is None:
             return False
-        asked = AttemptId(request_id=key.request_id, attempt=key.attempt)
-        request = ClaimsRequest(endpoint=ledger.name, attempts=[asked])
+        attempt_id = AttemptId(request_id=key.request_id, attempt=key.attempt)
+        request = ClaimsRequest(endpoint=ledger.name, attempts=[attempt_id])
         try:
             reply = await link.call(request)
         except (OSError, TimeoutError, FrameError):
             return False
         return isinstance(reply, ClaimsReply) and not reply.attempts
 
-    def _has(self, endpoint: str, request_id: str, attempt: int) -> bool:
+    def _holds_attempt(
+        self, endpoint: str, request_id: str, attempt: int
+    ) -> bool:
         return any(
             held.endpoint == endpoint
             and held.work.request_id == request_id
@@ -221,14 +229,16 @@
         claimed = [
             attempt
             for attempt in request.attempts
-            if self._has(request.endpoint, attempt.request_id, attempt.attempt)
+            if self._holds_attempt(
+                request.endpoint, attempt.request_id, attempt.attempt
+            )
         ]
         return ClaimsReply(attempts=claimed)
 
 
 def _is_covered(ledger: EndpointLedger, key: AttemptKey) -> bool:
     if (key.request_id, key.attempt) in ledger.ended_attempts:
-        return True  # the list was made before the release
+        return True  # the list predates the release
     return any(_matches(r, key) for r in ledger.reservations.values())
 
 
--- a/src/auburnswitch/endpoints/owner_client.py
+++ b/src/auburnswitch/endpoints/owner_client.py
@@ -1,4 +1,4 @@
-"""Calls to the owners of endpoints."""
+"""Sends reservation messages to the owners of endpoints."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class OwnerClient:
-    """Calls owners, this daemon among them.
+    """Calls the owners of endpoints, including this daemon.
 
     Attributes:
-        endpoint_manager: Answers where this daemon is the owner.
+        endpoint_manager: Handles requests that this daemon owns.
         membership: Links to the other daemons.
-        apply_locally: Takes a message to this daemon.
-        pending_calls: Calls that have not been answered.
+        apply_locally: Handles a message to this daemon.
+        pending_calls: Calls without a reply so far.
     """
 
     __slots__ = (
@@ -55,13 +55,13 @@
     async def reserve(
         self, owner_id: str, request: ReserveRequest
     ) -> ReserveReply:
-        """Asks an owner for room.
+        """Requests a reservation from an owner.
 
-        Room that is granted after the asker has gone is given back.
+        A reservation granted after the caller stopped waiting is released.
         """
-        me = self.endpoint_manager.view.local_member.id
-        if owner_id == me:
-            return await self.endpoint_manager.reserve(request, me)
+        local_id = self.endpoint_manager.view.local_member.id
+        if owner_id == local_id:
+            return await self.endpoint_manager.reserve(request, local_id)
         link = self.membership.links.get(owner_id)
         if link is None:
             return ReserveReply(code=ResultCode.PEER_UNREACHABLE)
@@ -75,9 +75,11 @@
         except TimeoutError:
             return ReserveReply(code=ResultCode.PEER_UNREACHABLE)
         finally:
-            if not task.done():  # the reply may still grant room
+            if not task.done():  # the owner may still grant the reservation
                 task.add_done_callback(
-                    lambda late: self._give_back(owner_id, request, late)
+                    lambda late_task: self._release_late(
+                        owner_id, request, late_task
+                    )
                 )
 
     async def _call(self, link: Any, request: ReserveRequest) -> ReserveReply:
@@ -90,34 +92,34 @@
             return reply
         return ReserveReply(code=ResultCode.PEER_UNREACHABLE)
 
-    def _give_back(
+    def _release_late(
         self,
         owner_id: str,
         request: ReserveRequest,
-        late: asyncio.Task[ReserveReply],
+        late_task: asyncio.Task[ReserveReply],
     ) -> None:
-        if late.cancelled() or late.exception() is not None:
+        if late_task.cancelled() or late_task.exception() is not None:
             return
-        reply = late.result()
+        reply = late_task.result()
         if reply.code != ResultCode.OK or not reply.reservation_id:
             return
         release = ReleaseRequest(
             endpoint=request.endpoint, reservation_id=reply.reservation_id
         )
         self.membership.tasks.start(
-            self.send(owner_id, release), "give back a late reservation"
+            self.send(owner_id, release), "release a late reservation"
         )
 
     async def send(
         self, member_id: str, request: ReleaseRequest | ProgressRequest
     ) -> None:
-        """Tells an owner of the progress or the end of a reservation."""
+        """Reports the progress or the end of a reservation to an owner."""
         if member_id == self.endpoint_manager.view.local_member.id:
             self.apply_locally(request)
             return
         link = self.membership.links.get(member_id)
         if link is None:
-            return  # heartbeats correct the owner's table
+            return  # heartbeats correct the owner's ledger
         try:
             await link.call(request)
         except (OSError, TimeoutError, FrameError):
--- a/src/auburnswitch/endpoints/owner_map.py
+++ b/src/auburnswitch/endpoints/owner_map.py
@@ -1,4 +1,4 @@
-"""Owner of each endpoint by the live view."""
+"""Maps each endpoint to its owner among the live members."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class OwnerMap:
-    """Remembers owners until the live members change.
+    """Caches the owners of endpoints until the live members change.
 
     Attributes:
-        view: What is known of the members.
+        view: Local view of the members.
         state: The configuration in force.
     """
 
@@ -35,8 +35,8 @@
     def owned(self) -> list[str]:
         """Returns the configured endpoints that this daemon owns."""
         self._refresh()
-        me = self.view.local_member.id
-        return [n for n in self.state.endpoints if self._owner(n) == me]
+        local_id = self.view.local_member.id
+        return [n for n in self.state.endpoints if self._owner(n) == local_id]
 
     def _owner(self, endpoint: str) -> str:
         owner = self.owners.get(endpoint)
--- a/src/auburnswitch/endpoints/phase_transitions.py
+++ b/src/auburnswitch/endpoints/phase_transitions.py
@@ -1,4 +1,4 @@
-"""Changes the phases of endpoints by what happens on them."""
+"""Changes the phases of endpoints on outcomes, load reports and pauses."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     """Moves endpoints between their phases.
 
     Attributes:
-        hints: What earlier owners told of the endpoints.
+        hints: Hints from earlier owners of the endpoints.
         unschedulable: Endpoints that receive no new work.
     """
 
@@ -45,91 +45,98 @@
         self.hints = hints
         self.unschedulable = unschedulable
 
-    def note_outcome(
+    def record_outcome(
         self,
         ledger: EndpointLedger,
         reservation: Reservation,
         request: ReleaseRequest,
     ) -> None:
-        """Learns from the end of an attempt."""
+        """Applies the outcome of an attempt."""
         if reservation.boot_id != ledger.boot_id:
-            return  # it ran on an earlier start
+            return  # it ran on an earlier incarnation
         if self.unschedulable.phase(ledger.name) is not None:
             return
-        with _logged(ledger):
+        with _log_phase_change(ledger):
             if request.endpoint_lost:
-                ledger.warm_up.note_cold(ledger.boot_id)
+                ledger.warm_up.reset_to_cold(ledger.boot_id)
             elif reservation.generation != ledger.warm_up.generation:
-                return  # it ran before the endpoint turned cold
+                return  # it was granted before the endpoint became cold
             elif request.succeeded:
-                ledger.warm_up.note_success(ledger.spec)
+                ledger.warm_up.record_success(ledger.spec)
             else:
                 ledger.warm_up.reduce_window(ledger.spec)
 
-    def note_first_token(
+    def record_first_token(
         self,
         ledger: EndpointLedger,
         reservation: Reservation,
         first_token_s: float,
     ) -> None:
-        """Compares a first-token time with the endpoint's record."""
+        """Compares a first-token time with the endpoint's baseline."""
         if first_token_s <= 0 or reservation.boot_id != ledger.boot_id:
             return
         expected_first_token_s = max(
             FIRST_TOKEN_FLOOR_S, reservation.expected_first_token_s
         )
-        with _logged(ledger):
-            ledger.warm_up.note_first_token(
+        with _log_phase_change(ledger):
+            ledger.warm_up.record_first_token(
                 ledger.spec,
                 max(FIRST_TOKEN_FLOOR_S, first_token_s)
                 / expected_first_token_s,
                 self.settings.slow_first_token_ratio,
             )
 
-    def note_load(self, ledger: EndpointLedger, report: LoadReport) -> None:
-        """Learns from a load report."""
+    def on_load_report(
+        self, ledger: EndpointLedger, report: LoadReport
+    ) -> None:
+        """Applies a load report."""
         ledger.load = report
         ledger.load_failures = 0
         warm_up = ledger.warm_up
-        with _logged(ledger):
+        with _log_phase_change(ledger):
             if self.unschedulable.phase(ledger.name) is not None:
-                warm_up.note_cold(report.boot_id)  # it may come back cold
+                warm_up.reset_to_cold(report.boot_id)  # it may return cold
             elif ledger.phase is EndpointPhase.UNKNOWN:
-                self._begin(ledger, report)
+                self._start_tracking(ledger, report)
             elif _has_restarted(ledger, report):
-                warm_up.note_cold(report.boot_id)
+                warm_up.reset_to_cold(report.boot_id)
             elif report.is_empty and self._has_old_work(ledger):
-                warm_up.note_empty_report()
+                warm_up.record_empty_report()
             else:
                 warm_up.empty_reports = 0
 
-    def note_unreachable(self, ledger: EndpointLedger) -> None:
-        """Learns from a load report that could not be read."""
+    def record_unreachable(self, ledger: EndpointLedger) -> None:
+        """Counts a failed load read; marks the endpoint down at the limit."""
         ledger.load_failures += 1
         if ledger.load_failures >= self.settings.down_after_failures:
-            with _logged(ledger):
-                ledger.warm_up.note_down()
+            with _log_phase_change(ledger):
+                ledger.warm_up.mark_down()
 
     def mark_cold(self, ledger: EndpointLedger) -> None:
-        """Takes note that an endpoint is out or leaving; it returns cold."""
+        """Marks an endpoint cold that is out, leaving or loading a model.
+
+        It is cold when it returns.
+        """
         if ledger.phase is not EndpointPhase.UNKNOWN:
-            with _logged(ledger):
-                ledger.warm_up.note_cold(ledger.boot_id)
+            with _log_phase_change(ledger):
+                ledger.warm_up.reset_to_cold(ledger.boot_id)
 
-    def note_paused(self, ledger: EndpointLedger) -> None:
-        """Distrusts what was known before this daemon was paused."""
-        with _logged(ledger):
+    def on_pause(self, ledger: EndpointLedger) -> None:
+        """Resets the phase, which may be out of date after a pause."""
+        with _log_phase_change(ledger):
             ledger.warm_up.phase = EndpointPhase.UNKNOWN
 
-    def _begin(self, ledger: EndpointLedger, report: LoadReport) -> None:
-        ledger.warm_up.note_cold(report.boot_id)
+    def _start_tracking(
+        self, ledger: EndpointLedger, report: LoadReport
+    ) -> None:
+        ledger.warm_up.reset_to_cold(report.boot_id)
         hint = self.hints.newest(ledger.name, max_age_s=HINT_MAX_AGE_S)
         if hint is not None and hint.boot_id == report.boot_id:
             ledger.warm_up.inherit(hint)
 
     def _has_old_work(self, ledger: EndpointLedger) -> bool:
-        # A report may be older than the work; only work that was dispatched
-        # before the report's lag counts.
+        # A report may predate the work; only work that was dispatched before
+        # the report's lag counts.
         lag_s = self.settings.load_lag_s + self.settings.load_interval_s
         oldest = min(
             (r.granted_at for r in ledger.reservations.values() if r.attempt),
@@ -149,7 +156,7 @@
 
 
 @contextlib.contextmanager
-def _logged(ledger: EndpointLedger) -> Iterator[None]:
+def _log_phase_change(ledger: EndpointLedger) -> Iterator[None]:
     before = ledger.phase
     yield
     if ledger.phase is not before:
--- a/src/auburnswitch/endpoints/phases.py
+++ b/src/auburnswitch/endpoints/phases.py
@@ -1,4 +1,4 @@
-"""How much load an endpoint can bear after a start."""
+"""Limits the load of an endpoint while it warms up after a start."""
 
 from __future__ import annotations
 
@@ -15,26 +15,24 @@
     EndpointPhase.OUT,
     EndpointPhase.DOWN,
 )
-STRICT_PHASES: Final = (EndpointPhase.UNKNOWN, EndpointPhase.COLD)
+LEASE_REQUIRED_PHASES: Final = (EndpointPhase.UNKNOWN, EndpointPhase.COLD)
 INHERITABLE_PHASES: Final = (EndpointPhase.WARMING, EndpointPhase.WARM)
 WINDOW_GROWTH_DIVISOR: Final = 4
 BASELINE_EWMA_WEIGHT: Final = 0.1
-SLOW_ANSWERS_BEFORE_COLD: Final = 2
+SLOW_FIRST_TOKENS_BEFORE_COLD: Final = 2
 EMPTY_REPORTS_BEFORE_COLD: Final = 2
-MAX_NORMAL_RATIO: Final = 1.5  # first-token time over the usual one
-WARM_SPEEDUP_RATIO: Final = 2.0  # of an engine that ends its cold phase
-MAX_UNDETECTED_RESETS: Final = (
-    1  # that an engine may have made while it was cold
-)
+MAX_NORMAL_RATIO: Final = 1.5  # of a first-token ratio to the baseline
+WARM_SPEEDUP_RATIO: Final = 2.0  # of an engine at the end of its cold phase
+MAX_UNDETECTED_RESETS: Final = 1  # while the engine is cold
 
 
 @dataclass(slots=True, kw_only=True)
 class LoadLimits:
-    """The most work that an endpoint may have at one time.
+    """Limits on the concurrent work of an endpoint.
 
     Attributes:
-        running: Requests.
-        prompt_tokens: Tokens of their prompts.
+        running: Maximum number of requests.
+        prompt_tokens: Maximum total of their prompt tokens.
     """
 
     running: int
@@ -42,21 +40,21 @@
 
 
 class WarmUpState:
-    """The phase of one endpoint and the load that goes with it.
+    """The phase of one endpoint and its load limits.
 
     Attributes:
-        phase: What load the endpoint can bear.
-        boot_id: The endpoint's present start.
-        generation: How often it has turned cold.
-        successes: Requests that succeeded since it was cold.
-        window: Requests that may run at one time while load rises.
-        baseline_ratio: Usual first-token time over the expected one, when not
-            cold.
-        max_cold_ratio: Most of that ratio since the endpoint was cold.
-        is_normal_speed: The newest answer was as quick as one of a warm
-            endpoint.
-        slow_answers: First tokens in a row far above the record.
-        empty_reports: Load reports in a row that show none of the known work.
+        phase: Current phase, which sets the load limits.
+        boot_id: Boot id of the endpoint's current incarnation.
+        generation: Number of times that it has become cold.
+        successes: Requests that succeeded since it last became cold.
+        window: Requests that may run concurrently while it is warming.
+        baseline_ratio: Moving average of actual to expected first-token time
+            while the endpoint is not cold.
+        max_cold_ratio: Highest such ratio since the endpoint became cold.
+        is_normal_speed: Whether the newest cold first token was as fast as
+            that of a warm endpoint.
+        slow_first_tokens: Consecutive first tokens far above the baseline.
+        empty_reports: Consecutive load reports without any of the known work.
     """
 
     __slots__ = (
@@ -67,7 +65,7 @@
         "is_normal_speed",
         "max_cold_ratio",
         "phase",
-        "slow_answers",
+        "slow_first_tokens",
         "successes",
         "window",
     )
@@ -80,12 +78,12 @@
         self._reset()
 
     @property
-    def is_strict(self) -> bool:
-        """Whether only the strict owner may grant work."""
-        return self.phase in STRICT_PHASES
+    def requires_lease(self) -> bool:
+        """Whether work may only be granted under an ownership lease."""
+        return self.phase in LEASE_REQUIRED_PHASES
 
     def limits(self, spec: Endpoint) -> LoadLimits:
-        """Returns the most work in the present phase."""
+        """Returns the load limits of the current phase."""
         match self.phase:
             case EndpointPhase.UNKNOWN | EndpointPhase.COLD:
                 return LoadLimits(
@@ -106,11 +104,11 @@
             case _:
                 return LoadLimits(running=0, prompt_tokens=0)
 
-    def note_success(self, spec: Endpoint) -> None:
-        """Counts a success, after which the endpoint may bear more."""
+    def record_success(self, spec: Endpoint) -> None:
+        """Counts a success and raises the load limits when due."""
         self.successes += 1
         match self.phase:
-            case EndpointPhase.COLD if self._seems_warm(spec):
+            case EndpointPhase.COLD if self._has_warmed_up(spec):
                 self.phase = EndpointPhase.WARMING
                 self.window = spec.cold_max_running + 1
             case EndpointPhase.WARMING:
@@ -120,54 +118,55 @@
         ):
             self.phase = EndpointPhase.WARM
 
-    def _seems_warm(self, spec: Endpoint) -> bool:
-        """Whether a cold endpoint has served enough.
+    def _has_warmed_up(self, spec: Endpoint) -> bool:
+        """Returns whether a cold endpoint has succeeded often enough.
 
-        It may have turned cold again unseen, as its answers were slow before,
-        and then counts from there. An answer at normal speed shows that it is
-        warm, and so do answers enough for a further turn.
+        It may have become cold again undetected, as its first tokens were
+        slow already, and then counts from zero. It is warm if a first token
+        comes at normal speed, or after enough successes for
+        MAX_UNDETECTED_RESETS further resets.
         """
         if self.successes < spec.warm_after:
             return False
-        most = (1 + MAX_UNDETECTED_RESETS) * spec.warm_after
-        return self.is_normal_speed or self.successes >= most
+        sufficient = (1 + MAX_UNDETECTED_RESETS) * spec.warm_after
+        return self.is_normal_speed or self.successes >= sufficient
 
     def reduce_window(self, spec: Endpoint) -> None:
-        """Halves the load that a warming endpoint may have."""
+        """Halves the window of a warming endpoint."""
         if self.phase is EndpointPhase.WARMING:
             self.window = max(spec.cold_max_running, self.window // 2)
 
-    def note_cold(self, boot_id: str) -> None:
-        """Takes note of a new start, or of the signs of one."""
+    def reset_to_cold(self, boot_id: str) -> None:
+        """Marks the endpoint cold after a detected or presumed restart."""
         self._reset()
         self.boot_id = boot_id
         self.generation += 1
         self.phase = EndpointPhase.COLD
 
-    def note_down(self) -> None:
-        """Takes note that the endpoint does not answer."""
+    def mark_down(self) -> None:
+        """Marks the endpoint down, as it does not respond."""
         self._reset()
         self.phase = EndpointPhase.DOWN
 
-    def note_first_token(
+    def record_first_token(
         self, spec: Endpoint, ratio: float, slow_ratio: float
     ) -> None:
-        """Compares a first-token time with the endpoint's own record.
+        """Compares a first-token time with the endpoint's baseline.
 
         Args:
             spec: The endpoint as configured.
-            ratio: First-token time over the expected one.
-            slow_ratio: Multiple of the record that counts as trouble.
+            ratio: Ratio of the actual to the expected first-token time.
+            slow_ratio: Multiple of the baseline above which it is slow.
         """
         if self.baseline_ratio and ratio > slow_ratio * self.baseline_ratio:
-            self.slow_answers += 1
+            self.slow_first_tokens += 1
             self.reduce_window(spec)
-            if self.slow_answers >= SLOW_ANSWERS_BEFORE_COLD:
-                self.note_cold(self.boot_id)
+            if self.slow_first_tokens >= SLOW_FIRST_TOKENS_BEFORE_COLD:
+                self.reset_to_cold(self.boot_id)
             return
-        self.slow_answers = 0
+        self.slow_first_tokens = 0
         if self.phase is EndpointPhase.COLD:
-            self._note_cold_speed(ratio)
+            self._record_cold_ratio(ratio)
             return
         if not self.baseline_ratio:
             self.baseline_ratio = ratio
@@ -175,22 +174,22 @@
             ratio - self.baseline_ratio
         )
 
-    def _note_cold_speed(self, ratio: float) -> None:
+    def _record_cold_ratio(self, ratio: float) -> None:
         self.max_cold_ratio = max(self.max_cold_ratio, ratio)
-        usual = self.baseline_ratio or 1.0
+        baseline = self.baseline_ratio or 1.0
         self.is_normal_speed = (
-            ratio <= MAX_NORMAL_RATIO * usual
+            ratio <= MAX_NORMAL_RATIO * baseline
             or WARM_SPEEDUP_RATIO * ratio <= self.max_cold_ratio
         )
 
-    def note_empty_report(self) -> None:
-        """Takes note of a load report that shows none of the known work."""
+    def record_empty_report(self) -> None:
+        """Records a load report that shows none of the known work."""
         self.empty_reports += 1
         if self.empty_reports >= EMPTY_REPORTS_BEFORE_COLD:
-            self.note_cold(self.boot_id)
+            self.reset_to_cold(self.boot_id)
 
     def inherit(self, hint: EndpointHint) -> None:
-        """Takes over what an earlier owner knew of the present start."""
+        """Adopts an earlier owner's phase of the same incarnation."""
         if hint.phase not in INHERITABLE_PHASES:
             return
         self.phase = EndpointPhase(hint.phase)
@@ -201,7 +200,7 @@
     def _reset(self) -> None:
         self.successes = 0
         self.window = 0
-        self.slow_answers = 0
+        self.slow_first_tokens = 0
         self.empty_reports = 0
         self.max_cold_ratio = 0.0
         self.is_normal_speed = True
@@ -210,7 +209,7 @@
 __all__ = [
     "INHERITABLE_PHASES",
     "UNSCHEDULABLE_PHASES",
-    "STRICT_PHASES",
+    "LEASE_REQUIRED_PHASES",
     "LoadLimits",
     "WarmUpState",
 ]
--- a/src/auburnswitch/endpoints/queue.py
+++ b/src/auburnswitch/endpoints/queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room on one endpoint."""
+"""Queues the requests that wait for capacity on one endpoint."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     Attributes:
         request: The request.
-        member_id: Daemon that asked.
+        member_id: Daemon that sent the request.
         queued_at: Loop time at which its wait began, here or at another
             owner, in seconds.
         reply: Set once the request is granted or refused.
@@ -40,16 +40,18 @@
 
 
 class ReservationQueue:
-    """Grants room: short before long with aging, fair between teams.
+    """Queues by length class with aging, with fair queueing between teams.
 
-    Each team has a virtual time, which its tokens over its weight advance.
-    Among requests of one urgency the team furthest behind goes first.
+    Each team has a virtual time, which a grant advances by its tokens divided
+    by the team's weight. Among requests of equal urgency the team with the
+    lowest virtual time takes precedence.
 
     Attributes:
         waiters: Waiting requests.
-        try_reserve: Returns a final reply, or None while there is no room.
-        aging_s: Wait that makes a request as urgent as a short one.
-        virtual_times: Virtual time of each team that was granted room.
+        try_reserve: Returns a final reply, or None while the request has to
+            wait.
+        aging_s: Wait after which a request is as urgent as a short one.
+        virtual_times: Virtual time of each team that has received a grant.
         virtual_now: Virtual time of the last grant.
     """
 
@@ -71,12 +73,12 @@
     async def reserve(
         self, request: ReserveRequest, member_id: str, retry_after_s: float
     ) -> ReserveReply:
-        """Grants a request, waiting for room as long as it asked.
+        """Grants a request, waiting for capacity up to its maximum wait.
 
         Args:
             request: The request.
-            member_id: Daemon that asks.
-            retry_after_s: When to come back if there is no room.
+            member_id: Daemon that sent the request.
+            retry_after_s: Delay to suggest for a retry if the wait times out.
         """
         waiter = Waiter(request=request, member_id=member_id)
         self.waiters.append(waiter)
@@ -86,7 +88,7 @@
                 return await waiter.reply
         except TimeoutError:
             if waiter.reply.done() and not waiter.reply.cancelled():
-                return waiter.reply.result()  # granted as the time ran out
+                return waiter.reply.result()  # granted as the timeout expired
             return ReserveReply(
                 code=ResultCode.QUEUE_FULL, retry_after_s=retry_after_s
             )
@@ -95,10 +97,10 @@
                 self.waiters.remove(waiter)
 
     def grant_waiting(self) -> None:
-        """Grants what fits, in order.
+        """Grants the requests that fit, in order.
 
-        A request that does not fit holds back all later ones but the short
-        ones, which would otherwise take the room it waits for.
+        A request that doesn't fit blocks all later ones except short ones,
+        since they would otherwise take the capacity that it waits for.
         """
         blocked = False
         for waiter in self._ordered():
@@ -116,7 +118,7 @@
                 waiter.reply.set_result(reply)
 
     def waiting_tokens(self, length: LengthClass) -> int:
-        """Returns the prompt tokens that wait and go before a new prompt."""
+        """Returns the queued prompt tokens that precede a new prompt."""
         return sum(
             waiter.request.prompt_tokens
             for waiter in self.waiters
@@ -124,7 +126,7 @@
         )
 
     def _ordered(self) -> list[Waiter]:
-        """Returns the waiters in the order in which they should be granted."""
+        """Returns the waiters in grant order."""
         times = dict(self.virtual_times)
         waiting: dict[tuple[int, str], list[Waiter]] = {}
         for waiter in sorted(self.waiters, key=lambda w: w.queued_at):
@@ -132,24 +134,26 @@
             waiting.setdefault(key, []).append(waiter)
         ordered = []
         while waiting:
-            key = min(waiting, key=lambda k: (k[0], self._start(times, k[1])))
+            key = min(
+                waiting, key=lambda k: (k[0], self._virtual_start(times, k[1]))
+            )
             waiter = waiting[key].pop(0)
             ordered.append(waiter)
-            start = self._start(times, key[1])
+            start = self._virtual_start(times, key[1])
             times[key[1]] = start + _virtual_tokens(waiter.request)
             if not waiting[key]:
                 del waiting[key]
         return ordered
 
-    def _start(self, times: dict[str, float], team: str) -> float:
+    def _virtual_start(self, times: dict[str, float], team: str) -> float:
         return max(times.get(team, 0.0), self.virtual_now)
 
     def _charge(self, request: ReserveRequest) -> None:
         if not self.waiters:
-            self.virtual_times.clear()  # nobody competes
+            self.virtual_times.clear()  # no other request competes
             self.virtual_now = 0.0
             return
-        start = self._start(self.virtual_times, request.team)
+        start = self._virtual_start(self.virtual_times, request.team)
         self.virtual_now = start
         self.virtual_times[request.team] = start + _virtual_tokens(request)
 
--- a/src/auburnswitch/endpoints/reservation.py
+++ b/src/auburnswitch/endpoints/reservation.py
@@ -1,4 +1,4 @@
-"""Room that an owner has granted on an endpoint."""
+"""Reservations that an owner has granted on an endpoint."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 
 
 class Reservation:
-    """Room granted on an endpoint.
+    """Capacity granted on an endpoint.
 
     Attributes:
-        id: Identifies the reservation.
+        id: Id of the reservation.
         member_id: Daemon that holds it.
-        tokens: Memory it takes, in tokens.
+        tokens: Reserved memory, in tokens.
         prompt_tokens: Prompt tokens, prefilled or not.
         prefill_tokens: Prompt tokens not yet prefilled.
-        request_id: Request it is for.
+        request_id: Request that it was granted for.
         attempt: Attempt that was dispatched, 0 if none is known.
-        boot_id: Start of the endpoint that it was granted on.
-        generation: How often the endpoint had turned cold before the grant.
+        boot_id: Boot id of the endpoint at the grant.
+        generation: Number of times that the endpoint had become cold before
+            the grant.
         expected_first_token_s: Expected time to the first token, in seconds.
-        granted_at: When it was granted, in seconds of loop time.
-        reported_at: When its holder last reported it, in seconds of loop time.
-        missed_reports: Reports of its holder in a row that lack it.
-        released_at: Loop time at which its holder gave it back while the
-            endpoint may still run it, None before that.
-        request: The request as asked, if this daemon granted it.
+        granted_at: Loop time of the grant, in seconds.
+        reported_at: Loop time of its holder's newest report of it, in seconds.
+        missed_reports: Consecutive reports of its holder that omit it.
+        released_at: Loop time at which its holder released it while the
+            endpoint may still run its work, in seconds, None before that.
+        request: The original request, if this daemon granted it.
     """
 
     __slots__ = (
@@ -92,7 +93,7 @@
 
     @property
     def is_released(self) -> bool:
-        """Whether its holder has given it back and it may still run."""
+        """Whether it was released while its work may still run."""
         return self.released_at is not None
 
     def to_work(self, endpoint: str) -> RunningWork:
--- a/src/auburnswitch/endpoints/reservation_reconciler.py
+++ b/src/auburnswitch/endpoints/reservation_reconciler.py
@@ -1,4 +1,4 @@
-"""Keeps ledgers in step with what the holders of reservations report."""
+"""Reconciles ledgers with the reports of reservation holders."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class ReservationReconciler:
-    """Adds reported work to ledgers and drops what no one holds.
+    """Adds reported work to ledgers and drops unheld reservations.
 
     Attributes:
         ledgers: Ledger by endpoint name.
         reported_at: Loop time of each member's newest report, in seconds.
-        wake: Called with an endpoint that has got room.
+        wake: Called with the name of an endpoint whose capacity was freed.
     """
 
     __slots__ = ("ledgers", "reported_at", "settings", "view", "wake")
@@ -45,8 +45,8 @@
         self.wake = wake
         self.reported_at: dict[str, float] = {}
 
-    def note_report(self, member_id: str, running: list[RunningWork]) -> None:
-        """Takes all work that a member has on this daemon's endpoints."""
+    def record_report(self, member_id: str, running: list[RunningWork]) -> None:
+        """Records a member's complete report of its work on owned endpoints."""
         self.reported_at[member_id] = monotonic_s()
         reported = set()
         for work in running:
@@ -55,39 +55,40 @@
                 ledger.record_reported_work(work, member_id)
                 reported.add(work.reservation_id)
         for ledger in self.ledgers.values():
-            self._note_missing(ledger, member_id, reported)
+            self._record_missing(ledger, member_id, reported)
 
-    def note_load(self, ledger: EndpointLedger, report: LoadReport) -> None:
-        """Ends the settling of a take-over; frees room of dead holders."""
-        if ledger.recovering and self._is_settled(ledger):
+    def on_load_report(
+        self, ledger: EndpointLedger, report: LoadReport
+    ) -> None:
+        """Completes recovery if it is due and ends abandoned reservations."""
+        if ledger.recovering and self._has_recovered(ledger):
             ledger.recovering = False
         for reservation in list(ledger.reservations.values()):
             if (
                 reservation.is_released
                 and reservation.boot_id != report.boot_id
             ):
-                ledger.end(reservation.id)  # an earlier start ran it
-        unheld = [
+                ledger.end(reservation.id)  # it ran on an earlier incarnation
+        abandoned = [
             r for r in ledger.reservations.values() if self.is_abandoned(r)
         ]
-        if not unheld:
+        if not abandoned:
             return
-        held = len(ledger.reservations) - len(unheld)
-        listed = (
-            ledger.work_listed_at > _NEVER
-        )  # the list says more than the load
+        held_count = len(ledger.reservations) - len(abandoned)
+        # The work list is more precise than the load report.
+        has_work_list = ledger.work_listed_at > _NEVER
         running = report.running + report.waiting
-        if ledger.is_cold and (listed or running > held):
+        if ledger.is_cold and (has_work_list or running > held_count):
             return
-        for reservation in unheld:
-            if self._is_certain(ledger, reservation):
+        for reservation in abandoned:
+            if self._has_ended(ledger, reservation):
                 ledger.end(reservation.id)
 
-    def _is_settled(self, ledger: EndpointLedger) -> bool:
-        """Tells whether every live member has reported since the take-over."""
+    def _has_recovered(self, ledger: EndpointLedger) -> bool:
+        """Returns whether every live member reported since the take-over."""
         members = self.settings.members
-        # Work granted by an earlier owner is used within its time to live and
-        # is in the next report of its holder and in the next load report.
+        # Work granted by an earlier owner is dispatched within its time to
+        # live and appears in its holder's next report and the next load report.
         since = ledger.recovery_started_at + members.reservation_ttl_s
         lag_s = self.settings.endpoints.load_lag_s
         if monotonic_s() < since + lag_s:
@@ -97,57 +98,60 @@
         ]
         return all(self.reported_at.get(i, _NEVER) >= since for i in others)
 
-    def _note_missing(
+    def _record_missing(
         self, ledger: EndpointLedger, member_id: str, reported: set[str]
     ) -> None:
         grace_s = (
             self.settings.members.reservation_ttl_s
             + self.settings.peers.call_timeout_s
         )
-        newest = monotonic_s() - grace_s
-        gone = []
+        granted_before = monotonic_s() - grace_s
+        missing = []
         for reservation in ledger.reservations.values():
             if reservation.member_id != member_id or reservation.is_released:
                 continue
-            if reservation.id in reported or reservation.granted_at > newest:
+            if (
+                reservation.id in reported
+                or reservation.granted_at > granted_before
+            ):
                 continue
             reservation.missed_reports += 1
             if reservation.missed_reports >= MAX_MISSED_REPORTS:
-                gone.append(reservation)
-        for reservation in gone:
+                missing.append(reservation)
+        for reservation in missing:
             self._drop(ledger, reservation)
-        if gone:
+        if missing:
             self.wake(ledger.name)
 
     def _drop(self, ledger: EndpointLedger, reservation: Reservation) -> None:
-        """Drops a reservation that its living holder does not have."""
+        """Drops a reservation that its live holder no longer reports."""
         if reservation.attempt:
-            reservation.released_at = monotonic_s()  # release was lost
+            reservation.released_at = monotonic_s()  # the release was lost
         else:
             ledger.end(reservation.id)
 
     def is_abandoned(self, reservation: Reservation) -> bool:
-        """Tells whether no living daemon is known to hold a reservation."""
+        """Returns whether no live daemon is known to hold a reservation."""
         if reservation.is_released:
             return True
         if reservation.member_id == self.view.local_member.id:
             return False
-        heard_at = self.reported_at.get(reservation.member_id, _NEVER)
-        silent_s = monotonic_s() - max(heard_at, reservation.reported_at)
+        last_report_at = self.reported_at.get(reservation.member_id, _NEVER)
+        silent_s = monotonic_s() - max(last_report_at, reservation.reported_at)
         members = self.settings.members
         return silent_s > members.suspect_after_s + members.reservation_ttl_s
 
-    def _is_certain(
+    def _has_ended(
         self, ledger: EndpointLedger, reservation: Reservation
     ) -> bool:
-        """Tells whether the endpoint can no longer run the work."""
+        """Returns whether the endpoint can no longer run the work."""
         if not ledger.is_cold:
             return True
         lag_s = self.settings.endpoints.load_lag_s
         if reservation.granted_at > monotonic_s() - lag_s:
-            return False  # the report may be older than the work
+            return False  # the report may predate the work
         if reservation.is_released:
-            return True  # the load report shows that it does not run
+            return True  # the load report shows that it is not running
         return reservation.member_id not in self.view.roster_ids()
 
 
--- a/src/auburnswitch/endpoints/reservations.py
+++ b/src/auburnswitch/endpoints/reservations.py
@@ -1,4 +1,4 @@
-"""Asks owners for reservations and reports what is held."""
+"""Requests reservations from owners and reports those that are held."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.client import EndpointFailureError
 from auburnswitch.endpoints.owner_client import OwnerClient
-from auburnswitch.endpoints.phases import STRICT_PHASES, UNSCHEDULABLE_PHASES
+from auburnswitch.endpoints.phases import (
+    LEASE_REQUIRED_PHASES,
+    UNSCHEDULABLE_PHASES,
+)
 from auburnswitch.observe.invariants import Invariant
 from auburnswitch.schema.peers import (
     Done,
@@ -31,7 +34,7 @@
 
 
 class DispatchRefusedError(EndpointFailureError):
-    """A reservation may not be used, and nothing was sent."""
+    """A reservation must not be used; nothing was sent to the endpoint."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason, sent=False, lost=False)
@@ -41,13 +44,15 @@
     """A reservation that this daemon holds.
 
     Attributes:
-        endpoint: Endpoint it is on.
-        owner_id: Member that granted it.
-        id: Identifies it at the owner.
-        dispatch_deadline: Loop time after which it must not be used first.
-        boot_id: Start of the endpoint that the owner knew.
-        work: What heartbeats report while it is held.
-        dispatched_at: Loop time of the dispatch, None before it.
+        endpoint: Name of the endpoint.
+        owner_id: Member that granted it, empty without a grant.
+        id: Id of the reservation at the owner.
+        dispatch_deadline: Loop time by which it must be dispatched, in
+            seconds.
+        boot_id: Boot id of the endpoint at the grant.
+        work: Entry that heartbeats report while it is held.
+        dispatched_at: Loop time of the first dispatch, in seconds, None before
+            it.
     """
 
     __slots__ = (
@@ -83,7 +88,7 @@
 
     Attributes:
         held: Reservations by id.
-        owner_client: Calls to owners.
+        owner_client: Sends messages to owners.
     """
 
     __slots__ = ("endpoint_manager", "held", "membership", "owner_client")
@@ -101,7 +106,7 @@
         )
 
     def register(self, server: PeerServer) -> None:
-        """Registers the owner's side of the messages."""
+        """Registers the owner-side message handlers."""
         server.handlers[ReserveRequest] = self._on_reserve
         server.handlers[ReleaseRequest] = self._on_release
         server.handlers[ProgressRequest] = self._on_progress
@@ -109,12 +114,12 @@
     async def reserve(
         self, request: ReserveRequest
     ) -> HeldReservation | ReserveReply:
-        """Asks the endpoint's owner for room.
+        """Requests a reservation from the endpoint's owner.
 
         Returns:
             The reservation, or the owner's refusal.
         """
-        asked_at = monotonic_s()
+        requested_at = monotonic_s()
         owner_id = self.endpoint_manager.owner_of(request.endpoint)
         reply = await self.owner_client.reserve(owner_id, request)
         for hint in reply.hints:
@@ -127,9 +132,9 @@
         held = HeldReservation(
             endpoint=request.endpoint,
             owner_id=owner_id,
-            dispatch_deadline=asked_at + reply.waited_s + ttl_s,
+            dispatch_deadline=requested_at + reply.waited_s + ttl_s,
             boot_id=reply.boot_id,
-            work=_work_of(request, reply.reservation_id),
+            work=_running_work(request, reply.reservation_id),
         )
         self.held[held.id] = held
         return held
@@ -137,7 +142,7 @@
     def hold_without_grant(
         self, work: RunningWork, dispatch_deadline: float
     ) -> HeldReservation:
-        """Holds work that no owner has granted; heartbeats report it."""
+        """Holds work without a grant, so that heartbeats report it."""
         held = HeldReservation(
             endpoint=work.endpoint,
             owner_id="",
@@ -151,14 +156,14 @@
     def guard(
         self, held: HeldReservation, attempt: Attempt
     ) -> Callable[[], None]:
-        """Returns the check to make right before the first byte is sent."""
+        """Returns the guard to call right before the first byte is sent."""
         return lambda: self.begin_dispatch(held, attempt)
 
     def begin_dispatch(self, held: HeldReservation, attempt: Attempt) -> None:
-        """Begins the use of a reservation.
+        """Marks a reservation as dispatched for an attempt.
 
         Raises:
-            DispatchRefusedError: It may not be used now.
+            DispatchRefusedError: The reservation must not be used now.
         """
         if reason := self._refusal(held, attempt):
             raise DispatchRefusedError(reason)
@@ -166,10 +171,10 @@
             held.dispatched_at = monotonic_s()
         held.work.request_id = attempt.request_id
         held.work.attempt = attempt.number
-        self._check_closed(held.endpoint)
+        self._check_schedulable(held.endpoint)
 
-    async def note_prefilled(self, held: HeldReservation) -> None:
-        """Tells the owner that the prompt has been prefilled."""
+    async def report_prefilled(self, held: HeldReservation) -> None:
+        """Reports to the owner that the prompt has been prefilled."""
         first_token_s = 0.0
         if held.dispatched_at is not None:
             first_token_s = monotonic_s() - held.dispatched_at
@@ -178,7 +183,7 @@
             reservation_id=held.id,
             first_token_s=first_token_s,
         )
-        await self._tell(held.endpoint, held.owner_id, request)
+        await self._send_to_owners(held.endpoint, held.owner_id, request)
 
     async def release(
         self,
@@ -189,15 +194,16 @@
         endpoint_lost: bool = False,
         may_still_run: bool | None = None,
     ) -> None:
-        """Gives a reservation back to the present owner, once.
+        """Releases a reservation at its owners; later calls have no effect.
 
         Args:
             held: The reservation.
-            succeeded: The endpoint gave a whole answer.
-            first_token_s: Seconds from dispatch to first token.
-            endpoint_lost: The endpoint refused or dropped the connection.
-            may_still_run: The endpoint may still run the attempt; by default
-                it may if the connection was dropped.
+            succeeded: Whether the endpoint returned a complete response.
+            first_token_s: Time from dispatch to the first token, in seconds.
+            endpoint_lost: Whether the endpoint refused or dropped the
+                connection.
+            may_still_run: Whether the endpoint may still run the attempt;
+                defaults to endpoint_lost.
         """
         if self.held.pop(held.id, None) is None:
             return
@@ -213,33 +219,33 @@
             endpoint_lost=endpoint_lost,
             may_still_run=used and may_still_run,
         )
-        await self._tell(held.endpoint, held.owner_id, request)
+        await self._send_to_owners(held.endpoint, held.owner_id, request)
         self._check_freed(held)
 
     def fill_heartbeat(self, heartbeat: Heartbeat, peer_id: str) -> None:
         """Reports the reservations on endpoints that the peer owns."""
-        heartbeat.running = self._works_for(peer_id)
+        heartbeat.running = self._work_for_owner(peer_id)
 
     def report_local_reservations(self) -> None:
-        """Reports this daemon's reservations to its own owner table."""
-        me = self.endpoint_manager.view.local_member.id
-        self.endpoint_manager.reservation_reconciler.note_report(
-            me, self._works_for(me)
+        """Reports this daemon's reservations to its own endpoint manager."""
+        local_id = self.endpoint_manager.view.local_member.id
+        self.endpoint_manager.reservation_reconciler.record_report(
+            local_id, self._work_for_owner(local_id)
         )
 
-    def _works_for(self, member_id: str) -> list[RunningWork]:
-        table = self.endpoint_manager
+    def _work_for_owner(self, member_id: str) -> list[RunningWork]:
+        manager = self.endpoint_manager
         return [
             held.work
             for held in self.held.values()
             if member_id == held.owner_id
-            or member_id == table.owner_of(held.endpoint)
-            or member_id == table.rights.owner_of(held.endpoint)
+            or member_id == manager.owner_of(held.endpoint)
+            or member_id == manager.leases.owner_of(held.endpoint)
         ]
 
     def _refusal(self, held: HeldReservation, attempt: Attempt) -> str:
         if held.id not in self.held:
-            return "the reservation was given back"
+            return "the reservation was released"
         if (
             held.dispatched_at is None
             and monotonic_s() > held.dispatch_deadline
@@ -248,39 +254,44 @@
         if held.work.attempt not in (0, attempt.number):
             return "the reservation is in use"
         if self.membership.is_isolated():
-            return "this daemon may have missed changes"
+            return "this daemon is isolated and may have missed changes"
         if self.endpoint_manager.is_unschedulable(held.endpoint):
             return "the endpoint receives no new work"
         hint = self.endpoint_manager.latest_hint(held.endpoint)
         if hint.phase in UNSCHEDULABLE_PHASES:
             return "the endpoint's owner grants no new work"
-        if hint.phase not in STRICT_PHASES or not held.owner_id:
+        if hint.phase not in LEASE_REQUIRED_PHASES or not held.owner_id:
             return ""
         if (
             held.dispatch_deadline == float("inf")
             or hint.boot_id != held.boot_id
         ):
-            return "the endpoint has turned cold since the grant"
+            return "the endpoint has become cold since the grant"
         return ""
 
     def _check_freed(self, held: HeldReservation) -> None:
         ledger = self.endpoint_manager.ledgers.get(held.endpoint)
-        kept = ledger.reservations.get(held.id) if ledger is not None else None
+        recorded = (
+            ledger.reservations.get(held.id) if ledger is not None else None
+        )
         self.endpoint_manager.invariants.check(
-            held.id not in self.held and (kept is None or kept.is_released),
+            held.id not in self.held
+            and (recorded is None or recorded.is_released),
             Invariant.MEMORY_FREED,
             endpoint=held.endpoint,
         )
 
-    def _check_closed(self, endpoint: str) -> None:
-        closed = self.endpoint_manager.unschedulable.phase(endpoint)
+    def _check_schedulable(self, endpoint: str) -> None:
+        unschedulable_phase = self.endpoint_manager.unschedulable.phase(
+            endpoint
+        )
         invariants = self.endpoint_manager.invariants
-        out = closed is EndpointPhase.OUT
+        out = unschedulable_phase is EndpointPhase.OUT
         invariants.check(not out, Invariant.ZONE_OUT, endpoint=endpoint)
-        leaving = closed is EndpointPhase.LEAVING
+        leaving = unschedulable_phase is EndpointPhase.LEAVING
         invariants.check(not leaving, Invariant.LEAVING, endpoint=endpoint)
 
-    async def _tell(
+    async def _send_to_owners(
         self,
         endpoint: str,
         granted_by: str,
@@ -297,7 +308,7 @@
             case ReleaseRequest():
                 self.endpoint_manager.release(request)
             case ProgressRequest():
-                self.endpoint_manager.note_progress(
+                self.endpoint_manager.record_prefilled(
                     request.endpoint,
                     request.reservation_id,
                     request.first_token_s,
@@ -315,7 +326,7 @@
         return Done()
 
 
-def _work_of(request: ReserveRequest, reservation_id: str) -> RunningWork:
+def _running_work(request: ReserveRequest, reservation_id: str) -> RunningWork:
     return RunningWork(
         endpoint=request.endpoint,
         reservation_id=reservation_id,
--- a/src/auburnswitch/endpoints/rights.py
+++ b/src/auburnswitch/endpoints/rights.py
@@ -1,18 +1,18 @@
-"""What the owner table needs to know of ownership by the roster."""
+"""Defines the ownership lease interface that endpoints/ depends on."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 
-class StrictOwnership(Protocol):
-    """Tells who may use cold endpoints and send orders to engines."""
+class EndpointLeases(Protocol):
+    """Leases to use cold endpoints and to send orders to engines."""
 
     def owner_of(self, endpoint: str) -> str:
         """Returns the roster member that owns an endpoint."""
 
     def holds_lease(self, endpoint: str) -> bool:
-        """Tells whether this daemon holds the strict rights now."""
+        """Returns whether this daemon holds the endpoint's lease now."""
 
 
-__all__ = ["StrictOwnership"]
+__all__ = ["EndpointLeases"]
--- a/src/auburnswitch/endpoints/unschedulable.py
+++ b/src/auburnswitch/endpoints/unschedulable.py
@@ -1,4 +1,4 @@
-"""Which endpoints may receive no new work."""
+"""Tracks which endpoints may receive no new work."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     Attributes:
         state: The configuration in force.
-        leaving_instances: Instances that the platform says are leaving.
-        leaving_engines: Endpoints whose own load report says so.
+        leaving_instances: Instances that the platform lists as leaving.
+        leaving_engines: Endpoints whose load report has the leaving flag.
     """
 
     __slots__ = ("leaving_engines", "leaving_instances", "state")
@@ -27,7 +27,7 @@
         self.leaving_engines: set[str] = set()
 
     def phase(self, endpoint: str) -> EndpointPhase | None:
-        """Returns why an endpoint receives no new work, None if it may."""
+        """Returns why an endpoint receives no new work, None if it does."""
         spec = self.state.endpoints.get(endpoint)
         if spec is None or spec.leaving:
             return EndpointPhase.LEAVING
@@ -41,8 +41,8 @@
             return EndpointPhase.LEAVING
         return None
 
-    def note_engine_report(self, endpoint: str, *, leaving: bool) -> None:
-        """Takes the engine's own word."""
+    def record_engine_report(self, endpoint: str, *, leaving: bool) -> None:
+        """Records whether the endpoint's load report has the leaving flag."""
         if leaving:
             self.leaving_engines.add(endpoint)
         else:
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -296,7 +296,7 @@
         self.metrics.time_to_first_token.record(
             first_token_s, {"length": length}
         )
-        progress = self.placer.reservations.note_prefilled(held)
+        progress = self.placer.reservations.report_prefilled(held)
         self.cleanups.start(progress, "note progress")
 
     def _note_retry(
--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -9,7 +9,10 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.endpoints.groups import release_group, reserve_group
-from auburnswitch.endpoints.phases import STRICT_PHASES, UNSCHEDULABLE_PHASES
+from auburnswitch.endpoints.phases import (
+    LEASE_REQUIRED_PHASES,
+    UNSCHEDULABLE_PHASES,
+)
 from auburnswitch.results import Refusal, refusal
 from auburnswitch.routing.length_classes import estimate_tokens
 from auburnswitch.schema.objects import ServiceKind
@@ -164,7 +167,7 @@
             if name not in excluded
             and not table.is_unschedulable(name)
             and table.latest_hint(name).phase not in UNSCHEDULABLE_PHASES
-            and table.latest_hint(name).phase not in STRICT_PHASES
+            and table.latest_hint(name).phase not in LEASE_REQUIRED_PHASES
         ]
 
     def _choose(self, request: RoutedRequest, names: list[str]) -> list[str]:
--- a/src/auburnswitch/routing/group_runner.py
+++ b/src/auburnswitch/routing/group_runner.py
@@ -131,7 +131,7 @@
                 "the prefill took too long", sent=True, lost=False
             ) from error
         held.work.prefill_tokens = 0
-        await self.group_placer.placer.reservations.note_prefilled(held)
+        await self.group_placer.placer.reservations.report_prefilled(held)
         return kv_id
 
     async def _post_prefill(
--- a/src/auburnswitch/routing/placer.py
+++ b/src/auburnswitch/routing/placer.py
@@ -10,7 +10,10 @@
 
 from auburnswitch.clock import monotonic_s
 from auburnswitch.endpoints.backlog import CHUNK_DELAY_S
-from auburnswitch.endpoints.phases import STRICT_PHASES, UNSCHEDULABLE_PHASES
+from auburnswitch.endpoints.phases import (
+    LEASE_REQUIRED_PHASES,
+    UNSCHEDULABLE_PHASES,
+)
 from auburnswitch.endpoints.reservations import (
     HeldReservation,
     ReservationClient,
@@ -272,7 +275,7 @@
             name
             for name in names
             if self.endpoint_manager.latest_hint(name).phase
-            not in STRICT_PHASES
+            not in LEASE_REQUIRED_PHASES
         ]
         key = request.fingerprint
         return sorted(warm or names, key=lambda name: _rank(key, name))
--- a/tests/endpoints/fleet_harness.py
+++ b/tests/endpoints/fleet_harness.py
@@ -1,4 +1,4 @@
-"""A fleet under load whose engines note the work that they get."""
+"""Runs a fleet under load and records the load of its cold engines."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class ColdLoadRecorder:
-    """Notes the most work that an engine had while it was cold.
+    """Records the maximum load of an engine while it is cold.
 
     Attributes:
-        running: Most requests at one time.
-        tokens: Most prompt tokens at one time.
+        running: Maximum number of concurrent requests.
+        tokens: Maximum total of their prompt tokens.
     """
 
     def __init__(self, engine: EngineStandIn) -> None:
@@ -42,8 +42,8 @@
         self.tokens = 0
         engine.batch.observer = RecordingEngineProxy(engine, self)
 
-    def note(self) -> None:
-        """Notes the work if the engine is cold."""
+    def record(self) -> None:
+        """Records the load if the engine is cold."""
         if not self.engine.cold:
             return
         jobs = self.engine.batch.jobs()
@@ -53,31 +53,34 @@
 
 
 class RecordingEngineProxy:
-    """Passes what a batch tells its engine on, and watches it."""
+    """Forwards a batch's calls to its engine and records load changes."""
 
-    def __init__(self, engine: EngineStandIn, watch: ColdLoadRecorder) -> None:
+    def __init__(
+        self, engine: EngineStandIn, recorder: ColdLoadRecorder
+    ) -> None:
         self.engine = engine
-        self.watch = watch
+        self.recorder = recorder
 
     def __getattr__(self, name: str) -> Any:
         if name == "on_load_changed":
-            self.watch.note()
+            self.recorder.record()
         return getattr(self.engine, name)
 
 
 class FleetHarness:
-    """A fleet and its callers.
+    """A fleet with simulated callers.
 
     Attributes:
         fleet: The fleet.
-        watches: Cold work of each engine.
-        statuses: HTTP status of each answered request, 0 for a lost one.
+        load_recorders: Recorder of the cold load by engine name.
+        statuses: HTTP status of each finished request, 0 if the connection
+            failed.
         sent: Requests sent so far.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.watches = {
+        self.load_recorders = {
             n: ColdLoadRecorder(e) for n, e in fleet.engines.items()
         }
         self.statuses: list[int] = []
@@ -97,7 +100,7 @@
     async def load(
         self, seconds: float, per_second: float, **options: Any
     ) -> None:
-        """Sends requests at a steady rate through every daemon in turn."""
+        """Sends requests at a constant rate, round-robin over all daemons."""
         loop = asyncio.get_running_loop()
         end_at = loop.time() + seconds
         number = 0
@@ -119,12 +122,12 @@
         raise LookupError(endpoint)
 
     def phase(self, endpoint: str) -> str:
-        """Returns the phase that the owner sees."""
+        """Returns the phase that the endpoint's owner reports."""
         daemon = self.fleet.daemons[self.owner_of(endpoint)]
         return daemon.endpoint_manager.latest_hint(endpoint).phase.name
 
     async def wait_phase(self, endpoint: str, *names: str) -> None:
-        """Waits until the owner sees one of some phases."""
+        """Waits until the owner reports one of the named phases."""
         async with asyncio.timeout(120):
             while self.phase(endpoint) not in names:
                 await asyncio.sleep(0.05)
@@ -136,25 +139,25 @@
                 await self.load(1, 8)
             await self.finish()
 
-    def cut(self, instance: str) -> None:
-        """Cuts a daemon off from all others; it still reaches all else."""
+    def partition(self, instance: str) -> None:
+        """Partitions a daemon from its peers; it still reaches all else."""
         for link in self._links_of(instance):
             link.dial = _refuse
             if link.connection is not None:
                 link.connection.writer.transport.abort()
 
     def heal(self, instance: str) -> None:
-        """Ends the cut of a daemon."""
+        """Ends the partition of a daemon."""
         for link in self._links_of(instance):
             link.dial = asyncio.open_connection
 
     def _links_of(self, instance: str) -> list[PeerLink]:
-        cut = self.fleet.daemons[instance]
-        own = list(cut.membership.links.values())
+        isolated = self.fleet.daemons[instance]
+        own = list(isolated.membership.links.values())
         return own + [
-            daemon.membership.links[cut.member.id]
+            daemon.membership.links[isolated.member.id]
             for daemon in self.fleet.daemons.values()
-            if cut.member.id in daemon.membership.links
+            if isolated.member.id in daemon.membership.links
         ]
 
     def crashes(self) -> list[str]:
@@ -166,7 +169,7 @@
         ]
 
     def _prompt(self, tokens: int) -> str:
-        """Returns a prompt like no other, so that no crash strikes it."""
+        """Returns a unique prompt, so that no crash strike applies to it."""
         self.sent += 1
         return f"{self.sent:08}" + "word" * (tokens - 2)
 
@@ -188,17 +191,17 @@
 
 
 async def _refuse(*_: Any, **__: Any) -> Any:
-    raise ConnectionRefusedError("cut off")
+    raise ConnectionRefusedError("partitioned")
 
 
 @contextlib.asynccontextmanager
 async def open_harness(**options: Any) -> AsyncIterator[FleetHarness]:
-    """Opens a fleet in virtual time; needs a `FreezableLoop`."""
+    """Opens a fleet in virtual time; requires a `FreezableLoop`."""
     options.setdefault("plain_services", 0)
     fleet_options = FleetOptions(connector=SimulatedConnector, **options)
     async with open_fleet(fleet_options) as fleet:
-        bench = FleetHarness(fleet)
-        yield bench
+        harness = FleetHarness(fleet)
+        yield harness
         for instance, daemon in fleet.daemons.items():
             violations = daemon.invariants.violations
             assert not violations, f"{instance}: {violations}"
--- a/tests/endpoints/manager_support.py
+++ b/tests/endpoints/manager_support.py
@@ -1,4 +1,4 @@
-"""An owner table on its own, for tests."""
+"""Builds endpoint managers without peers, for tests."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 SERVICE = "front-desk"
 
 
-class FakeRights:
-    """Strict rights that a test gives and takes."""
+class FakeLeases:
+    """Ownership leases that a test grants and revokes."""
 
     def __init__(self) -> None:
-        self.strict = True
+        self.held = True
         self.owner = "me"
 
     def owner_of(self, _: str) -> str:
@@ -40,12 +40,12 @@
         return self.owner
 
     def holds_lease(self, _: str) -> bool:
-        """Tells whether strict rights are held."""
-        return self.strict
+        """Returns whether the lease is held."""
+        return self.held
 
 
 class FakeMembership:
-    """Membership with links that a test sets."""
+    """Membership whose links and isolation a test sets."""
 
     def __init__(self) -> None:
         self.links: dict[str, Any] = {}
@@ -53,7 +53,7 @@
         self.isolated = False
 
     def is_isolated(self) -> bool:
-        """Tells whether the daemon is alone."""
+        """Returns whether the daemon is isolated."""
         return self.isolated
 
 
@@ -75,34 +75,34 @@
 def make_endpoint_manager(
     *, settled: bool = True, **values: Any
 ) -> EndpointManager:
-    """Returns the owner table of a daemon without peers."""
+    """Returns the endpoint manager of a daemon without peers."""
     settings = Settings()
     view = MemberView(local_member=Member(id="me"), settings=settings.members)
     state = ConfigState()
     state.join_ticket(Ticket(number=1, changes=changes(endpoint(**values))))
-    table = EndpointManager(
+    manager = EndpointManager(
         settings=settings,
         view=view,
         state=state,
         invariants=Invariants(strict=True),
-        rights=FakeRights(),
+        leases=FakeLeases(),
     )
-    table.note_load(ENGINE, LoadReport(boot_id="b1"), monotonic_s())
-    ledger = table.ledgers[ENGINE]
+    manager.on_load_report(ENGINE, LoadReport(boot_id="b1"), monotonic_s())
+    ledger = manager.ledgers[ENGINE]
     ledger.recovering = not settled
     ledger.work_listed_at = monotonic_s() if settled else float("-inf")
-    return table
+    return manager
 
 
-def make_reservation_client(table: EndpointManager) -> ReservationClient:
-    """Returns the reservation client beside an owner table."""
+def make_reservation_client(manager: EndpointManager) -> ReservationClient:
+    """Returns a reservation client of an endpoint manager."""
     return ReservationClient(
-        endpoint_manager=table, membership=FakeMembership()
+        endpoint_manager=manager, membership=FakeMembership()
     )
 
 
 def make_reserve_request(**values: Any) -> ReserveRequest:
-    """Returns a request for room."""
+    """Returns a reservation request."""
     options = {"prompt_tokens": 1000, "answer_tokens": 16, **values}
     return ReserveRequest(endpoint=ENGINE, **options)
 
@@ -110,7 +110,7 @@
 __all__ = [
     "ENGINE",
     "FakeMembership",
-    "FakeRights",
+    "FakeLeases",
     "make_reserve_request",
     "changes",
     "make_reservation_client",
--- a/tests/endpoints/test_backlog.py
+++ b/tests/endpoints/test_backlog.py
@@ -1,4 +1,4 @@
-"""Tests of the model of an endpoint's prefill."""
+"""Tests of the prefill model of an endpoint and its admission limits."""
 
 from __future__ import annotations
 
@@ -26,22 +26,24 @@
 
 
 class PredictedWaitTest(unittest.TestCase):
-    def test_short_requests_wait_for_short_ones_alone(self):
+    def test_short_requests_wait_only_for_short_ones(self):
         async def scenario():
             ledger = make_ledger()
             ledger.grant(request(200_000, LONG), "m", "1")
             ledger.grant(request(4_000, SHORT), "m", "2")
             now = [predicted_wait_s(ledger, c) for c in (SHORT, LONG)]
-            await asyncio.sleep(1)  # a chunk, 4 k of short, 15 k of long
+            # One second: a chunk, 4 k short tokens and 15 k long tokens.
+            await asyncio.sleep(1)
             return now, [predicted_wait_s(ledger, c) for c in (SHORT, LONG)]
 
         now, later = run_virtual(scenario)
-        self.assertAlmostEqual(now[0], 0.25)  # a chunk of the long one, too
+        # Includes one chunk of the long prompt.
+        self.assertAlmostEqual(now[0], 0.25)
         self.assertAlmostEqual(now[1], 10.25)
         self.assertAlmostEqual(later[0], MIN_REMAINING_S)
         self.assertAlmostEqual(later[1], 9.25 + MIN_REMAINING_S)
 
-    def test_long_prompt_in_prefill_gives_way_late(self):
+    def test_long_prompt_in_prefill_delays_a_short_one_by_one_chunk(self):
         async def scenario():
             ledger = make_ledger()
             ledger.grant(request(200_000, LONG), "m", "1")
@@ -58,23 +60,23 @@
         self.assertEqual(run_virtual(scenario), 0)
 
 
-class RoomTest(unittest.TestCase):
-    def room_beside(self, granted, asked):
+class CapacityTest(unittest.TestCase):
+    def fits_beside(self, granted, requested):
         async def scenario():
             ledger = make_ledger()
-            for number, one in enumerate(granted):
-                ledger.grant(request(*one), "m", str(number))
-            return has_capacity(ledger, request(*asked), RoutingSettings())
+            for number, options in enumerate(granted):
+                ledger.grant(request(*options), "m", str(number))
+            return has_capacity(ledger, request(*requested), RoutingSettings())
 
         return run_virtual(scenario)
 
-    def test_memory_is_kept_for_short_requests(self):
+    def test_memory_share_is_reserved_for_short_requests(self):
         granted = [(250_000, LONG)]
-        self.assertFalse(self.room_beside(granted, (210_000, LONG)))
-        self.assertTrue(self.room_beside([(449_000, LONG)], (8_000, SHORT)))
-        self.assertTrue(self.room_beside([(1_000, SHORT)], (490_000, LONG)))
+        self.assertFalse(self.fits_beside(granted, (210_000, LONG)))
+        self.assertTrue(self.fits_beside([(449_000, LONG)], (8_000, SHORT)))
+        self.assertTrue(self.fits_beside([(1_000, SHORT)], (490_000, LONG)))
 
-    def test_long_prefill_at_one_time_is_bounded(self):
+    def test_concurrent_long_prefill_is_limited(self):
         granted = [(200_000, LONG)]
-        self.assertTrue(self.room_beside(granted, (100_000, LONG)))
-        self.assertFalse(self.room_beside(granted, (100_001, LONG)))
+        self.assertTrue(self.fits_beside(granted, (100_000, LONG)))
+        self.assertFalse(self.fits_beside(granted, (100_001, LONG)))
--- a/tests/endpoints/test_cold_bound.py
+++ b/tests/endpoints/test_cold_bound.py
@@ -1,4 +1,4 @@
-"""Tests of the cold bound over all daemons, in virtual time."""
+"""Tests of the fleet-wide load limit of cold engines, in virtual time."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from tests.endpoints.fleet_harness import FleetHarness, number_of, open_harness
 from tests.virtual_time import run_virtual
 
-BOUND = 2
-TOKEN_BOUND = 20_000
+MAX_COLD_RUNNING = 2
+MAX_COLD_TOKENS = 20_000
 ENGINE = "engine-0"
-RATE = 1.5  # requests per second, about what the cold engines can do
+REQUESTS_PER_S = (
+    1.5  # requests per second, about the capacity of the cold engines
+)
 NEVER_WARM = 100_000
 ANSWER_TOKENS = 100  # 2.5 s at the engine's decode step
-TAKE_OVER_S = 20  # removal from the roster, strict wait, survey
+TAKE_OVER_S = 20  # roster removal, lease wait, listing of work
 
 
-def stay_cold() -> dict:
-    """Returns options of a fleet whose engines stay cold."""
+def cold_fleet_options() -> dict:
+    """Returns the options of a fleet whose engines stay cold."""
     return {
         "daemons": 5,
         "engines": 2,
@@ -30,84 +32,92 @@
 
 
 class ColdBoundTest(unittest.TestCase):
-    def check(self, bench: FleetHarness) -> None:
-        """Checks that the bound was reached and never passed."""
-        self.assertEqual(bench.crashes(), [])
-        self.assertEqual(bench.watches[ENGINE].running, BOUND)
-        self.assertLessEqual(bench.watches[ENGINE].tokens, TOKEN_BOUND)
-        self.assertGreater(bench.statuses.count(200), 0)
+    def check(self, harness: FleetHarness) -> None:
+        """Checks that the limit was reached and never exceeded."""
+        self.assertEqual(harness.crashes(), [])
+        self.assertEqual(
+            harness.load_recorders[ENGINE].running, MAX_COLD_RUNNING
+        )
+        self.assertLessEqual(
+            harness.load_recorders[ENGINE].tokens, MAX_COLD_TOKENS
+        )
+        self.assertGreater(harness.statuses.count(200), 0)
 
     def run_cold(self, scenario) -> None:
         """Runs a scenario on a fleet with cold engines under load."""
 
         async def run():
-            async with open_harness(**stay_cold()) as bench:
-                await bench.load(10, RATE, answer=ANSWER_TOKENS)
-                await scenario(bench)
-                served = bench.statuses.count(200)
-                await bench.load(10, RATE, answer=ANSWER_TOKENS)
-                await bench.finish()
-                self.assertGreater(bench.statuses.count(200), served)
-                self.check(bench)
+            async with open_harness(**cold_fleet_options()) as harness:
+                await harness.load(10, REQUESTS_PER_S, answer=ANSWER_TOKENS)
+                await scenario(harness)
+                served = harness.statuses.count(200)
+                await harness.load(10, REQUESTS_PER_S, answer=ANSWER_TOKENS)
+                await harness.finish()
+                self.assertGreater(harness.statuses.count(200), served)
+                self.check(harness)
 
         run_virtual(run, FreezableLoop)
 
     def test_steady_load(self):
-        async def scenario(bench):
-            await bench.load(10, RATE, answer=ANSWER_TOKENS)
+        async def scenario(harness):
+            await harness.load(10, REQUESTS_PER_S, answer=ANSWER_TOKENS)
 
         self.run_cold(scenario)
 
-    def test_prompts_that_fit_one_at_a_time(self):
-        async def scenario(bench):
-            await bench.finish()  # short ones would go first
-            await bench.load(
-                10, 1, tokens=TOKEN_BOUND * 6 // 10, answer=ANSWER_TOKENS
+    def test_prompts_that_only_fit_one_at_a_time(self):
+        async def scenario(harness):
+            await harness.finish()  # short ones would take precedence
+            await harness.load(
+                10, 1, tokens=MAX_COLD_TOKENS * 6 // 10, answer=ANSWER_TOKENS
             )
 
         self.run_cold(scenario)
 
     def test_owner_is_killed(self):
-        async def scenario(bench):
-            owner = bench.owner_of(ENGINE)
-            bench.fleet.kill_daemon(number_of(owner))
-            await bench.load(TAKE_OVER_S, RATE, answer=ANSWER_TOKENS)
+        async def scenario(harness):
+            owner = harness.owner_of(ENGINE)
+            harness.fleet.kill_daemon(number_of(owner))
+            await harness.load(
+                TAKE_OVER_S, REQUESTS_PER_S, answer=ANSWER_TOKENS
+            )
 
         self.run_cold(scenario)
 
-    def test_paused_owner_thaws_in_a_take_over(self):
-        async def scenario(bench):
-            owner = bench.owner_of(ENGINE)
+    def test_frozen_owner_resumes_during_a_take_over(self):
+        async def scenario(harness):
+            owner = harness.owner_of(ENGINE)
             for pause_s in (2.5, 6, 14):
                 for _ in range(4):
-                    bench.send(owner, answer=ANSWER_TOKENS)
-                bench.fleet.freeze_daemon(number_of(owner))
-                await bench.load(pause_s, RATE, answer=ANSWER_TOKENS)
-                bench.fleet.thaw_daemon(number_of(owner))
-                await bench.load(5, RATE, answer=ANSWER_TOKENS)
+                    harness.send(owner, answer=ANSWER_TOKENS)
+                harness.fleet.freeze_daemon(number_of(owner))
+                await harness.load(
+                    pause_s, REQUESTS_PER_S, answer=ANSWER_TOKENS
+                )
+                harness.fleet.thaw_daemon(number_of(owner))
+                await harness.load(5, REQUESTS_PER_S, answer=ANSWER_TOKENS)
 
         self.run_cold(scenario)
 
-    def test_owner_is_cut_off_from_all_daemons(self):
-        async def scenario(bench):
-            owner = bench.owner_of(ENGINE)
-            for cut_s in (4, 16):
-                bench.cut(owner)
-                for _ in range(cut_s):
-                    bench.send(owner, answer=ANSWER_TOKENS)
-                    await bench.load(1, 1, answer=ANSWER_TOKENS)
-                bench.heal(owner)
-                await bench.load(5, RATE, answer=ANSWER_TOKENS)
+    def test_owner_is_partitioned_from_all_daemons(self):
+        async def scenario(harness):
+            owner = harness.owner_of(ENGINE)
+            for partition_s in (4, 16):
+                harness.partition(owner)
+                for _ in range(partition_s):
+                    harness.send(owner, answer=ANSWER_TOKENS)
+                    await harness.load(1, 1, answer=ANSWER_TOKENS)
+                harness.heal(owner)
+                await harness.load(5, REQUESTS_PER_S, answer=ANSWER_TOKENS)
 
         self.run_cold(scenario)
 
-    def test_owner_stops_in_order(self):
-        async def scenario(bench):
-            owner = bench.owner_of(ENGINE)
+    def test_owner_stops_gracefully(self):
+        async def scenario(harness):
+            owner = harness.owner_of(ENGINE)
             load = asyncio.create_task(
-                bench.load(8, RATE, answer=ANSWER_TOKENS)
+                harness.load(8, REQUESTS_PER_S, answer=ANSWER_TOKENS)
             )
-            await bench.fleet.stop_daemon(number_of(owner))
+            await harness.fleet.stop_daemon(number_of(owner))
             await load
 
         self.run_cold(scenario)
--- a/tests/endpoints/test_cold_turns.py
+++ b/tests/endpoints/test_cold_turns.py
@@ -1,4 +1,4 @@
-"""Tests of warm engines that turn cold under load, in virtual time."""
+"""Tests of warm engines that become cold under load, in virtual time."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 from tests.endpoints.fleet_harness import FleetHarness, open_harness
 from tests.virtual_time import run_virtual
 
-BOUND = 2
+MAX_COLD_RUNNING = 2
 ENGINE = "engine-0"
 
 
-class ColdTurnTest(unittest.TestCase):
-    def run_turn(self, turn) -> FleetHarness:
-        """Turns a warm engine cold under load until it is warm again."""
+class ColdResetTest(unittest.TestCase):
+    def run_reset(self, reset) -> FleetHarness:
+        """Resets a warm engine to cold under load until it is warm again."""
 
         async def run():
-            async with open_harness(daemons=5, engines=3) as bench:
-                await bench.warm_up()
-                await bench.load(3, 10)
-                turn(bench.fleet.engines[ENGINE])
-                await bench.load(5, 10)
-                restarted = bench.watches[ENGINE]
+            async with open_harness(daemons=5, engines=3) as harness:
+                await harness.warm_up()
+                await harness.load(3, 10)
+                reset(harness.fleet.engines[ENGINE])
+                await harness.load(5, 10)
+                restarted = harness.load_recorders[ENGINE]
                 restarted.running = restarted.tokens = 0
-                await bench.load(25, 10)
-                await bench.finish()
-                self.assertEqual(bench.phase(ENGINE), "WARM")
-                self.assertEqual(set(bench.statuses), {200})
-                self.assertLessEqual(restarted.running, BOUND)
-                return bench
+                await harness.load(25, 10)
+                await harness.finish()
+                self.assertEqual(harness.phase(ENGINE), "WARM")
+                self.assertEqual(set(harness.statuses), {200})
+                self.assertLessEqual(restarted.running, MAX_COLD_RUNNING)
+                return harness
 
         return run_virtual(run, FreezableLoop)
 
     def test_restart(self):
-        bench = self.run_turn(lambda engine: engine.crash())
-        self.assertEqual(bench.crashes(), [])
+        harness = self.run_reset(lambda engine: engine.crash())
+        self.assertEqual(harness.crashes(), [])
 
-    def test_unannounced(self):
-        bench = self.run_turn(lambda engine: engine.turn_cold())
-        # Nothing shows the turn before the engine has fallen over once.
-        self.assertLessEqual(len(bench.crashes()), 1)
+    def test_reset_without_a_new_boot_id(self):
+        harness = self.run_reset(lambda engine: engine.turn_cold())
+        # The reset can't be detected before the engine has crashed once.
+        self.assertLessEqual(len(harness.crashes()), 1)
--- a/tests/endpoints/test_engine_reconciler.py
+++ b/tests/endpoints/test_engine_reconciler.py
@@ -1,4 +1,4 @@
-"""Tests of orders to engines under fencing numbers."""
+"""Tests of orders to engines with fencing numbers."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 ZONE = FleetOptions().zones[0]
 
 
-def want(bench: FleetHarness, version: str) -> Change:
-    """Returns the change that asks for a model version."""
-    engine = bench.fleet.engines[ENGINE]
+def model_version_change(harness: FleetHarness, version: str) -> Change:
+    """Returns the change that sets the engine's model version."""
+    engine = harness.fleet.engines[ENGINE]
     host, _, port = engine.url.removeprefix("http://").partition(":")
     spec = Endpoint(
         service=MODEL,
@@ -45,28 +45,28 @@
     return Change(kind=ObjectKind.ENDPOINT, name=ENGINE, endpoint=spec)
 
 
-async def wait_version(bench: FleetHarness, version: str) -> None:
+async def wait_version(harness: FleetHarness, version: str) -> None:
     """Waits until the engine has loaded a version."""
     async with asyncio.timeout(60):
-        while bench.fleet.engines[ENGINE].order_state.version != version:
+        while harness.fleet.engines[ENGINE].order_state.version != version:
             await asyncio.sleep(0.1)
 
 
-class RevokingNumbers:
-    """Numbers whose taking outlasts the strict rights, as a pause does."""
+class LeaseLosingAllocator:
+    """Allocator during whose call the lease expires, as in a pause."""
 
-    def __init__(self, rights) -> None:
-        self.rights = rights
+    def __init__(self, leases) -> None:
+        self.leases = leases
 
     async def allocate(self, _, *, last_seen=0):
-        """Takes a number and loses the rights."""
-        self.rights.strict = False
+        """Allocates a number and revokes the lease."""
+        self.leases.held = False
         return Ok(last_seen + 1)
 
 
 @contextlib.asynccontextmanager
-async def open_keeper(numbers_of, *, weight_url="", **engine_options):
-    """Opens an engine and the order keeper of a lone owner."""
+async def open_reconciler(make_allocator, *, weight_url="", **engine_options):
+    """Opens an engine and the reconciler of an owner without peers."""
     options = EngineOptions(**engine_options)
     async with (
         open_session() as session,
@@ -74,51 +74,59 @@
         open_task_set() as tasks,
     ):
         port = engine.url.rpartition(":")[2]
-        table = make_endpoint_manager(model_version="v2", port=int(port))
+        manager = make_endpoint_manager(model_version="v2", port=int(port))
         settings = EndpointsSettings(weight_store_url=weight_url)
-        keeper = EngineReconciler(
-            endpoint_manager=table,
+        reconciler = EngineReconciler(
+            endpoint_manager=manager,
             client=EndpointClient(session=session, settings=settings),
-            fencing_numbers=numbers_of(table, session),
+            fencing_numbers=make_allocator(manager, session),
             load_limiter=ModelLoadLimiter(
                 settings=settings, session=session, count_daemons=lambda: 1
             ),
             tasks=tasks,
         )
-        tasks.start(keeper.run(), "orders")
-        yield engine, keeper
+        tasks.start(reconciler.run(), "orders")
+        yield engine, reconciler
 
 
 class OrderTest(unittest.TestCase):
-    def test_numbers_rise_over_a_take_over(self):
+    def test_fencing_numbers_increase_across_a_take_over(self):
         async def scenario():
-            async with open_harness(daemons=4, engines=1) as bench:
-                ticket = bench.fleet.ticket([want(bench, "v2")])
-                await bench.fleet.apply(ticket)
-                await wait_version(bench, "v2")
-                owner = bench.owner_of(ENGINE)
-                bench.fleet.freeze_daemon(number_of(owner))
+            async with open_harness(daemons=4, engines=1) as harness:
+                ticket = harness.fleet.ticket(
+                    [model_version_change(harness, "v2")]
+                )
+                await harness.fleet.apply(ticket)
+                await wait_version(harness, "v2")
+                owner = harness.owner_of(ENGINE)
+                harness.fleet.freeze_daemon(number_of(owner))
                 await asyncio.sleep(20)
-                other = next(i for i in bench.fleet.daemons if i != owner)
-                ticket = bench.fleet.ticket([want(bench, "v3")])
-                await bench.fleet.apply(ticket, other)
-                await wait_version(bench, "v3")
-                bench.fleet.thaw_daemon(number_of(owner))
+                other = next(i for i in harness.fleet.daemons if i != owner)
+                ticket = harness.fleet.ticket(
+                    [model_version_change(harness, "v3")]
+                )
+                await harness.fleet.apply(ticket, other)
+                await wait_version(harness, "v3")
+                harness.fleet.thaw_daemon(number_of(owner))
                 await asyncio.sleep(40)
-                version = bench.fleet.engines[ENGINE].order_state.version
-                applied = bench.fleet.history.select(HistoryKind.ORDER_APPLIED)
-                return version, [r.fields["fencing_number"] for r in applied]
+                version = harness.fleet.engines[ENGINE].order_state.version
+                records = harness.fleet.history.select(
+                    HistoryKind.ORDER_APPLIED
+                )
+                return version, [r.fields["fencing_number"] for r in records]
 
         version, fencing_numbers = run_virtual(scenario, FreezableLoop)
         self.assertEqual(version, "v3")
         self.assertEqual(fencing_numbers, [1, 2])
 
-    def test_no_order_once_the_rights_have_run_out(self):
+    def test_no_order_after_the_lease_has_expired(self):
         async def scenario():
-            def numbers_of(table, _):
-                return RevokingNumbers(table.rights)
+            def make_allocator(manager, _):
+                return LeaseLosingAllocator(manager.leases)
 
-            async with open_keeper(numbers_of, checks_fencing=False) as (
+            async with open_reconciler(
+                make_allocator, checks_fencing=False
+            ) as (
                 engine,
                 _,
             ):
@@ -127,7 +135,7 @@
 
         self.assertEqual(run_virtual(scenario), 0)
 
-    def test_lost_answer_of_the_store_and_a_higher_number(self):
+    def test_lost_store_response_and_higher_number_at_the_engine(self):
         async def scenario():
             async with open_platform() as platform, open_session() as session:
                 settings = PlatformSettings(url=platform.url)
@@ -135,7 +143,7 @@
                 fencing_numbers = FencingNumberAllocator(
                     store=store, member_id="me"
                 )
-                async with open_keeper(lambda *_: fencing_numbers) as (
+                async with open_reconciler(lambda *_: fencing_numbers) as (
                     engine,
                     _,
                 ):
@@ -146,34 +154,35 @@
                         engine.order_state.fencing_number,
                     )
                     platform.lose_answers = 1
-                    taken = await fencing_numbers.allocate(ENGINE)
-                    return *found, taken
+                    allocated = await fencing_numbers.allocate(ENGINE)
+                    return *found, allocated
 
-        version, number, taken = run_virtual(scenario)
+        version, number, allocated = run_virtual(scenario)
         self.assertEqual((version, number), ("v2", 8))
-        self.assertEqual(taken, Ok(9))
+        self.assertEqual(allocated, Ok(9))
 
-    def test_foreign_order_is_read_back_and_corrected(self):
+    def test_order_of_another_owner_is_read_back_and_corrected(self):
         async def scenario():
-            class Numbers:
+            class CountingAllocator:
                 number = 0
 
                 async def allocate(self, _, *, last_seen=0):
                     self.number += 1
                     return Ok(self.number)
 
-            async with open_keeper(
-                lambda *_: Numbers(), checks_fencing=False
+            async with open_reconciler(
+                lambda *_: CountingAllocator(), checks_fencing=False
             ) as (engine, _):
                 await asyncio.sleep(10)
-                first = engine.order_state.version
-                engine.order_state.version = "v1"  # an old order came late
+                first_version = engine.order_state.version
+                # An outdated order arrived late.
+                engine.order_state.version = "v1"
                 await asyncio.sleep(60)
-                return first, engine.order_state.version
+                return first_version, engine.order_state.version
 
         self.assertEqual(run_virtual(scenario), ("v2", "v2"))
 
-    def test_loads_are_admitted_by_the_weight_store(self):
+    def test_loads_stay_within_the_weight_store_rate(self):
         async def scenario():
             async with open_weight_store(burst_loads=1) as weights:
                 async with open_session() as session:
--- a/tests/endpoints/test_groups.py
+++ b/tests/endpoints/test_groups.py
@@ -41,10 +41,10 @@
 
 
 class SlowClient(ReservationClient):
-    """Reserves after a short time, so that groups interleave."""
+    """Delays reservations, so that groups interleave."""
 
     async def reserve(self, request):
-        """Asks the endpoint's owner for room."""
+        """Requests a reservation after a short delay."""
         await asyncio.sleep(0.01)
         return await super().reserve(request)
 
@@ -54,78 +54,78 @@
         """Runs a scenario on the owner of three warm engines."""
 
         async def run():
-            table = make_endpoint_manager()
+            manager = make_endpoint_manager()
             changes = [
                 Change(kind=ObjectKind.ENDPOINT, name=name, endpoint=endpoint())
                 for name in NAMES
             ]
-            table.state.join_ticket(Ticket(number=2, changes=changes))
+            manager.state.join_ticket(Ticket(number=2, changes=changes))
             for name in NAMES:
-                table.note_load(name, LoadReport(boot_id="b1"), 0.0)
-                table.ledgers[name].warm_up.phase = EndpointPhase.WARM
-                table.ledgers[name].recovering = False
+                manager.on_load_report(name, LoadReport(boot_id="b1"), 0.0)
+                manager.ledgers[name].warm_up.phase = EndpointPhase.WARM
+                manager.ledgers[name].recovering = False
             client = SlowClient(
-                endpoint_manager=table, membership=FakeMembership()
+                endpoint_manager=manager, membership=FakeMembership()
             )
             async with open_task_set() as tasks:
                 client.membership.tasks = tasks
-                return await scenario(table, client)
+                return await scenario(manager, client)
 
         return run_virtual(run)
 
-    def held_tokens(self, table) -> list[int]:
-        """Returns the memory granted on each engine."""
-        return [table.ledgers[name].reserved_tokens for name in NAMES]
+    def held_tokens(self, manager) -> list[int]:
+        """Returns the reserved memory of each engine, in tokens."""
+        return [manager.ledgers[name].reserved_tokens for name in NAMES]
 
-    def test_all_parts_are_kept_until_released(self):
-        async def scenario(table, client):
+    def test_all_parts_are_held_until_released(self):
+        async def scenario(manager, client):
             group = await reserve_group(client, parts(*reversed(NAMES)))
             await asyncio.sleep(60)
             client.report_local_reservations()
             client.report_local_reservations()
             for held in group:
                 client.begin_dispatch(held, ATTEMPT)
-            during = self.held_tokens(table)
+            during = self.held_tokens(manager)
             release_group(client, group, succeeded=True)
             await asyncio.sleep(0)
             order = [held.endpoint for held in group]
-            return order, during, self.held_tokens(table)
+            return order, during, self.held_tokens(manager)
 
         order, during, after = self.run_group(scenario)
         self.assertEqual(order, list(reversed(NAMES)))
         self.assertEqual((during, after), ([TOKENS] * 3, [0] * 3))
 
     def test_one_full_endpoint_releases_every_part(self):
-        async def scenario(table, client):
+        async def scenario(manager, client):
             await client.reserve(parts(NAMES[2])[0])
             reply = await reserve_group(client, parts(*NAMES))
             await asyncio.sleep(0)
             self.assertIsInstance(reply, ReserveReply)
-            return reply.code, self.held_tokens(table)
+            return reply.code, self.held_tokens(manager)
 
         self.assertEqual(
             self.run_group(scenario), (ResultCode.QUEUE_FULL, [0, 0, TOKENS])
         )
 
     def test_cancelled_group_releases_every_part(self):
-        async def scenario(table, client):
+        async def scenario(manager, client):
             await client.reserve(parts(NAMES[2])[0])
             requests = parts(*NAMES)
             for request in requests:
                 request.max_wait_s = 9
             task = asyncio.create_task(reserve_group(client, requests))
             await asyncio.sleep(1)
-            waiting = self.held_tokens(table)
+            waiting = self.held_tokens(manager)
             task.cancel()
             await asyncio.sleep(0.1)
-            return waiting, self.held_tokens(table)
+            return waiting, self.held_tokens(manager)
 
         waiting, after = self.run_group(scenario)
         self.assertEqual(waiting, [TOKENS] * 3)
         self.assertEqual(after, [0, 0, TOKENS])
 
-    def test_two_groups_do_not_block_each_other(self):
-        async def scenario(table, client):
+    def test_two_groups_do_not_deadlock(self):
+        async def scenario(manager, client):
             first, second = parts(*NAMES), parts(*reversed(NAMES))
             for request in first + second:
                 request.max_wait_s = 9
@@ -138,14 +138,14 @@
             )
             release_group(client, done.pop().result())
             await asyncio.gather(*tasks)
-            return self.held_tokens(table)
+            return self.held_tokens(manager)
 
         self.assertEqual(self.run_group(scenario), [TOKENS] * 3)
 
-    def test_cold_endpoint_takes_no_part(self):
-        async def scenario(table, client):
+    def test_cold_endpoint_joins_no_group(self):
+        async def scenario(manager, client):
             group = await reserve_group(client, parts(*NAMES))
-            table.note_load(NAMES[0], LoadReport(boot_id="b2"), 0.0)
+            manager.on_load_report(NAMES[0], LoadReport(boot_id="b2"), 0.0)
             with self.assertRaises(DispatchRefusedError):
                 client.begin_dispatch(group[0], ATTEMPT)
             release_group(client, group)
--- a/tests/endpoints/test_handover.py
+++ b/tests/endpoints/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of handing endpoints over at an owner's graceful stop."""
+"""Tests of the hand-over of endpoints at an owner's graceful stop."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     make_endpoint_manager,
     make_reserve_request,
 )
-from tests.endpoints.test_cold_bound import stay_cold
+from tests.endpoints.test_cold_bound import cold_fleet_options
 from tests.virtual_time import run_virtual
 
 ENGINE = "engine-0"
-HANDED_OVER_WITHIN_S = 3.0  # less than the wait of an owner without the word
+HANDED_OVER_WITHIN_S = 3.0  # less than the wait without a hand-over
 
 
 class HandoverTest(unittest.TestCase):
-    def test_successor_knows_phase_and_reservations(self):
+    def test_successor_adopts_phase_and_reservations(self):
         async def scenario():
             old, new = (
                 make_endpoint_manager(),
@@ -38,7 +38,7 @@
             request = HandoverRequest(endpoints=[ENGINE])
             Handover(endpoint_manager=old).fill_request(request)
             Handover(endpoint_manager=new).apply_request(request)
-            new.note_load(ENGINE, LoadReport(boot_id="b1"), 0.0)
+            new.on_load_report(ENGINE, LoadReport(boot_id="b1"), 0.0)
             ledger = new.ledgers[ENGINE]
             held = [r.member_id for r in ledger.reservations.values()]
             return ledger.phase, ledger.max_running, held
@@ -49,33 +49,33 @@
 
     def test_warm_endpoint_stays_warm(self):
         async def scenario():
-            async with open_harness(daemons=3, engines=1) as bench:
-                await bench.warm_up()
-                owner = bench.owner_of(ENGINE)
-                load = asyncio.create_task(bench.load(8, 4))
-                await bench.fleet.stop_daemon(number_of(owner))
-                await bench.wait_phase(ENGINE, "WARM")
+            async with open_harness(daemons=3, engines=1) as harness:
+                await harness.warm_up()
+                owner = harness.owner_of(ENGINE)
+                load = asyncio.create_task(harness.load(8, 4))
+                await harness.fleet.stop_daemon(number_of(owner))
+                await harness.wait_phase(ENGINE, "WARM")
                 await load
-                await bench.finish()
-                cold = bench.fleet.daemons[bench.owner_of(ENGINE)]
-                generation = cold.endpoint_manager.ledgers[
+                await harness.finish()
+                successor = harness.fleet.daemons[harness.owner_of(ENGINE)]
+                generation = successor.endpoint_manager.ledgers[
                     ENGINE
                 ].warm_up.generation
-                return set(bench.statuses), generation
+                return set(harness.statuses), generation
 
-        # One cold turn: the ledger's beginning, before it adopts the word.
+        # Generation 1: a new ledger starts cold, then adopts the hand-over.
         self.assertEqual(run_virtual(scenario, FreezableLoop), ({200}, 1))
 
     def test_cold_endpoint_is_used_again_soon(self):
         async def scenario():
-            async with open_harness(**stay_cold()) as bench:
-                await bench.load(10, 2, answer=16)
-                owner = bench.owner_of(ENGINE)
-                await bench.fleet.stop_daemon(number_of(owner))
+            async with open_harness(**cold_fleet_options()) as harness:
+                await harness.load(10, 2, answer=16)
+                owner = harness.owner_of(ENGINE)
+                await harness.fleet.stop_daemon(number_of(owner))
                 stopped_at = monotonic_s()
-                await bench.load(8, 10, answer=2)
-                await bench.finish()
-                records = bench.fleet.history.select(
+                await harness.load(8, 10, answer=2)
+                await harness.finish()
+                records = harness.fleet.history.select(
                     HistoryKind.REQUEST_STARTED, actor=ENGINE
                 )
                 return min(
--- a/tests/endpoints/test_phases.py
+++ b/tests/endpoints/test_phases.py
@@ -30,47 +30,47 @@
 from tests.virtual_time import run_virtual
 
 WARM_AFTER = 8
-TURN_AFTER = 4
+RESET_AFTER_SUCCESSES = 4
 COLD_FIRST_TOKEN_S = 0.6
 
 
 class Driver:
-    """Runs requests on one endpoint of an owner table."""
+    """Runs requests on one endpoint of an endpoint manager."""
 
     def __init__(self, **values) -> None:
-        self.table = make_endpoint_manager(warm_after=WARM_AFTER, **values)
-        self.client = make_reservation_client(self.table)
-        self.ledger = self.table.ledgers[ENGINE]
+        self.manager = make_endpoint_manager(warm_after=WARM_AFTER, **values)
+        self.client = make_reservation_client(self.manager)
+        self.ledger = self.manager.ledgers[ENGINE]
 
     async def run(self, first_token_s: float = 0.05, **outcome) -> None:
-        """Runs one request to its end."""
+        """Runs one request to completion."""
         held = await self.begin()
         await asyncio.sleep(first_token_s)
-        await self.client.note_prefilled(held)
+        await self.client.report_prefilled(held)
         await self.client.release(held, **({"succeeded": True} | outcome))
 
     async def begin(self):
-        """Begins one request."""
+        """Starts one request."""
         held = await self.client.reserve(make_reserve_request())
         attempt = Attempt(request_id=held.id, number=1, member_id="me")
         self.client.begin_dispatch(held, attempt)
         return held
 
     async def succeed(self, count: int) -> None:
-        """Runs requests that succeed."""
+        """Runs a number of successful requests."""
         for _ in range(count):
             await self.run()
 
     def load(self, **values) -> None:
-        """Passes on a load report."""
+        """Applies a load report."""
         report = LoadReport(**({"boot_id": "b1"} | values))
-        self.table.note_load(ENGINE, report, monotonic_s())
+        self.manager.on_load_report(ENGINE, report, monotonic_s())
 
     def apply(self, number: int, *, out: bool) -> None:
-        """Takes the zone out or brings it back."""
+        """Takes the zone out of service or returns it to service."""
         spec = endpoint(warm_after=WARM_AFTER)
         ticket = Ticket(number=number, changes=changes(spec, zone_out=out))
-        self.table.state.join_ticket(ticket)
+        self.manager.state.join_ticket(ticket)
 
 
 class PhaseTest(unittest.TestCase):
@@ -87,36 +87,36 @@
         return run_virtual(run)
 
     def assert_cold(self, driver: Driver) -> None:
-        """Checks that only the cold bound is left."""
+        """Checks that the limits of a cold endpoint apply."""
         self.assertEqual(driver.ledger.phase, EndpointPhase.COLD)
         spec = driver.ledger.spec
         self.assertEqual(driver.ledger.max_running, spec.cold_max_running)
 
-    def test_bound_rises_by_successes_and_halves_on_trouble(self):
+    def test_limit_rises_on_successes_and_halves_on_a_failure(self):
         async def scenario():
             driver = Driver()
-            bounds = []
+            limits = []
             for _ in range(WARM_AFTER - 1):
                 await driver.run()
-                bounds.append(driver.ledger.max_running)
-            self.assertEqual(set(bounds), {2})
+                limits.append(driver.ledger.max_running)
+            self.assertEqual(set(limits), {2})
             await driver.succeed(8)
-            risen = driver.ledger.max_running
+            raised_limit = driver.ledger.max_running
             await driver.run(succeeded=False)
-            return risen, driver.ledger.max_running
+            return raised_limit, driver.ledger.max_running
 
-        risen, halved = run_virtual(scenario)
-        self.assertGreater(risen, 8)
-        self.assertEqual(halved, risen // 2)
+        raised_limit, halved_limit = run_virtual(scenario)
+        self.assertGreater(raised_limit, 8)
+        self.assertEqual(halved_limit, raised_limit // 2)
 
-    def test_turn_without_a_sign_in_the_cold_phase(self):
+    def test_undetected_reset_in_the_cold_phase(self):
         async def scenario():
             driver = Driver()
-            served = 0  # by the engine since it turned cold
+            served = 0  # by the engine since it became cold
             while served < WARM_AFTER:
                 await driver.run(first_token_s=COLD_FIRST_TOKEN_S)
                 served += 1
-                if driver.ledger.warm_up.successes == TURN_AFTER:
+                if driver.ledger.warm_up.successes == RESET_AFTER_SUCCESSES:
                     served = 0
                 self.assertEqual(driver.ledger.phase, EndpointPhase.COLD)
             await driver.run()
@@ -124,7 +124,7 @@
 
         run_virtual(scenario)
 
-    def test_endpoint_that_is_always_slow_is_not_cold_for_ever(self):
+    def test_endpoint_that_is_always_slow_becomes_warm(self):
         async def scenario():
             driver = Driver()
             for _ in range(2 * WARM_AFTER):
@@ -133,7 +133,7 @@
 
         run_virtual(scenario)
 
-    def test_new_start_is_cold(self):
+    def test_new_boot_id_is_cold(self):
         async def scenario(driver):
             driver.load(boot_id="b2")
 
@@ -148,7 +148,7 @@
         lingering = list(driver.ledger.reservations)  # it may still run
         self.assertEqual(len(lingering), 1)
         generation = driver.ledger.warm_up.generation
-        driver.table.release(
+        driver.manager.release(
             ReleaseRequest(
                 endpoint=ENGINE,
                 reservation_id=lingering[0],
@@ -165,7 +165,7 @@
 
         self.assert_cold(self.after(scenario))
 
-    def test_one_slow_first_token_is_not(self):
+    def test_nonconsecutive_slow_first_tokens_stay_warm(self):
         async def scenario(driver):
             await driver.run(first_token_s=5)
             await driver.succeed(3)
@@ -184,7 +184,7 @@
 
         self.assert_cold(self.after(scenario))
 
-    def test_lagging_report_is_no_sign(self):
+    def test_lagging_report_is_ignored(self):
         async def scenario(driver):
             await driver.begin()
             driver.load()
@@ -195,11 +195,11 @@
         driver = self.after(scenario)
         self.assertEqual(driver.ledger.phase, EndpointPhase.WARM)
 
-    def test_silent_endpoint_is_down_then_cold(self):
+    def test_unreachable_endpoint_is_down_then_cold(self):
         async def scenario(driver):
             for _ in range(3):
-                driver.table.note_unreachable(ENGINE)
-            reply = await driver.table.reserve(make_reserve_request(), "me")
+                driver.manager.record_unreachable(ENGINE)
+            reply = await driver.manager.reserve(make_reserve_request(), "me")
             self.assertEqual(reply.code, ResultCode.NO_ENDPOINT)
             driver.load()
 
@@ -216,11 +216,11 @@
         self.assert_cold(driver)
         self.assertEqual(driver.ledger.warm_up.successes, 0)
 
-    def test_engine_says_that_it_is_leaving(self):
+    def test_engine_reports_that_it_is_leaving(self):
         async def scenario(driver):
             held = await driver.client.reserve(make_reserve_request())
             driver.load(leaving=True)
-            reply = await driver.table.reserve(make_reserve_request(), "me")
+            reply = await driver.manager.reserve(make_reserve_request(), "me")
             self.assertEqual(reply.code, ResultCode.NO_ENDPOINT)
             attempt = Attempt(request_id="r", number=1, member_id="me")
             with self.assertRaises(DispatchRefusedError):
@@ -228,19 +228,19 @@
 
         self.after(scenario)
 
-    def test_take_over_adopts_the_phase_of_the_same_start(self):
+    def test_take_over_adopts_the_phase_of_the_same_boot_id(self):
         async def scenario():
-            table = make_endpoint_manager()
+            manager = make_endpoint_manager()
             phases = []
             for boot_id in ("b1", "b0"):
-                table.ledgers.clear()
+                manager.ledgers.clear()
                 hint = EndpointHint(
                     endpoint=ENGINE, phase=EndpointPhase.WARM, boot_id=boot_id
                 )
-                table.hints.update(hint)
-                before = table.local_hint(ENGINE).phase
-                table.note_load(ENGINE, LoadReport(boot_id="b1"), 0.0)
-                ledger = table.ledgers[ENGINE]
+                manager.hints.update(hint)
+                before = manager.local_hint(ENGINE).phase
+                manager.on_load_report(ENGINE, LoadReport(boot_id="b1"), 0.0)
+                ledger = manager.ledgers[ENGINE]
                 phases.append((before, ledger.phase, ledger.max_running))
             return phases
 
@@ -255,7 +255,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.lists(st.sampled_from("slgbdup"), max_size=60))
-    def test_cold_bound_in_any_order(self, events):
+    def test_cold_limit_holds_for_any_order_of_events(self, events):
         async def scenario():
             driver = Driver()
             held = []
@@ -266,18 +266,18 @@
                             await driver.client.reserve(make_reserve_request())
                         )
                     case "s" | "l" if held:
-                        one = held.pop()
-                        if hasattr(one, "work"):
+                        reservation = held.pop()
+                        if hasattr(reservation, "work"):
                             await driver.client.release(
-                                one, succeeded=event == "s"
+                                reservation, succeeded=event == "s"
                             )
                     case "b":
                         driver.load(boot_id=f"b{len(held)}")
                     case "d":
-                        driver.table.note_unreachable(ENGINE)
+                        driver.manager.record_unreachable(ENGINE)
                     case "u":
                         driver.load()
                     case "p":
-                        driver.table.note_paused()
+                        driver.manager.on_pause()
 
-        run_virtual(scenario)  # the invariant raises
+        run_virtual(scenario)  # strict invariants raise on a violation
--- a/tests/endpoints/test_queue.py
+++ b/tests/endpoints/test_queue.py
@@ -17,8 +17,8 @@
 AGING_S = 60.0
 
 
-class Room:
-    """Grants while tokens are free and records the order."""
+class FakeCapacity:
+    """Grants requests while tokens are free and records the grant order."""
 
     def __init__(self, tokens):
         self.free = tokens
@@ -32,7 +32,9 @@
         return ReserveReply(reservation_id=request.request_id)
 
 
-def ask(name, tokens, length=SHORT, *, team="a", weight=1.0, wait_s=100.0):
+def make_request(
+    name, tokens, length=SHORT, *, team="a", weight=1.0, wait_s=100.0
+):
     return ReserveRequest(
         request_id=name,
         prompt_tokens=tokens,
@@ -43,8 +45,8 @@
     )
 
 
-async def queue_all(room, requests, *, gap_s=0.0):
-    queue = ReservationQueue(try_reserve=room.try_reserve, aging_s=AGING_S)
+async def queue_all(capacity, requests, *, gap_s=0.0):
+    queue = ReservationQueue(try_reserve=capacity.try_reserve, aging_s=AGING_S)
     tasks = []
     for request in requests:
         tasks.append(asyncio.create_task(queue.reserve(request, "m", 1.0)))
@@ -55,64 +57,73 @@
 class QueueTest(unittest.TestCase):
     def order(self, requests, *, wait_s=0.0, gap_s=0.0):
         async def scenario():
-            room = Room(0)
-            queue, tasks = await queue_all(room, requests, gap_s=gap_s)
+            capacity = FakeCapacity(0)
+            queue, tasks = await queue_all(capacity, requests, gap_s=gap_s)
             await asyncio.sleep(wait_s)
-            room.free = 10**9
+            capacity.free = 10**9
             queue.grant_waiting()
             await asyncio.gather(*tasks)
-            return room.granted
+            return capacity.granted
 
         return run_virtual(scenario)
 
-    def test_short_goes_before_long(self):
-        requests = [ask("long", 9, LONG), ask("short", 1)]
+    def test_short_takes_precedence_over_long(self):
+        requests = [make_request("long", 9, LONG), make_request("short", 1)]
         self.assertEqual(self.order(requests), ["short", "long"])
 
-    def test_long_that_aged_goes_first(self):
-        requests = [ask("long", 9, LONG), ask("short", 1)]
+    def test_aged_long_request_takes_precedence(self):
+        requests = [make_request("long", 9, LONG), make_request("short", 1)]
         order = self.order(requests, wait_s=AGING_S - 1, gap_s=2)
         self.assertEqual(order, ["long", "short"])
 
     def test_wait_at_other_owners_counts(self):
-        aged = ask("aged", 9, LONG)
+        aged = make_request("aged", 9, LONG)
         aged.waited_s = AGING_S
-        self.assertEqual(self.order([ask("short", 1), aged]), ["aged", "short"])
+        self.assertEqual(
+            self.order([make_request("short", 1), aged]), ["aged", "short"]
+        )
 
     def test_teams_share_by_weight(self):
-        requests = [ask(f"a{n}", 10) for n in range(6)]
-        requests += [ask(f"b{n}", 10, team="b", weight=2) for n in range(6)]
+        requests = [make_request(f"a{n}", 10) for n in range(6)]
+        requests += [
+            make_request(f"b{n}", 10, team="b", weight=2) for n in range(6)
+        ]
         order = self.order(requests)[:6]
         self.assertEqual(sum(name.startswith("b") for name in order), 4)
 
     def test_large_request_is_not_starved_by_smaller_ones(self):
         async def scenario():
-            room = Room(5)
-            requests = [ask("large", 9, LONG), ask("small", 4, LONG)]
-            queue, tasks = await queue_all(room, requests)
-            before = list(room.granted)
-            room.free = 9
+            capacity = FakeCapacity(5)
+            requests = [
+                make_request("large", 9, LONG),
+                make_request("small", 4, LONG),
+            ]
+            queue, tasks = await queue_all(capacity, requests)
+            before = list(capacity.granted)
+            capacity.free = 9
             queue.grant_waiting()
             for task in tasks:
                 task.cancel()
-            return before, room.granted
+            return before, capacity.granted
 
         self.assertEqual(run_virtual(scenario), ([], ["large"]))
 
     def test_grant_at_the_moment_of_the_timeout_is_not_lost(self):
         async def scenario():
-            room = Room(0)
+            capacity = FakeCapacity(0)
             queue = ReservationQueue(
-                try_reserve=room.try_reserve, aging_s=AGING_S
+                try_reserve=capacity.try_reserve, aging_s=AGING_S
             )
 
             def grant():
-                room.free = 1
+                capacity.free = 1
                 queue.grant_waiting()
 
             asyncio.get_running_loop().call_later(1.0, grant)
-            reply = await queue.reserve(ask("r", 1, wait_s=1.0), "m", 1.0)
-            return reply.code == ResultCode.OK, room.granted
+            reply = await queue.reserve(
+                make_request("r", 1, wait_s=1.0), "m", 1.0
+            )
+            return reply.code == ResultCode.OK, capacity.granted
 
         ok, granted = run_virtual(scenario)
         self.assertEqual(ok, bool(granted))
@@ -129,19 +140,19 @@
             max_size=12,
         )
     )
-    def test_replies_agree_with_grants(self, asked):
+    def test_replies_match_grants(self, requested):
         async def scenario():
-            room = Room(40)
+            capacity = FakeCapacity(40)
             requests = [
-                ask(str(n), tokens, length, team=team, wait_s=wait_s)
-                for n, (tokens, length, team, wait_s) in enumerate(asked)
+                make_request(str(n), tokens, length, team=team, wait_s=wait_s)
+                for n, (tokens, length, team, wait_s) in enumerate(requested)
             ]
-            queue, tasks = await queue_all(room, requests, gap_s=0.5)
-            room.free += 30
+            queue, tasks = await queue_all(capacity, requests, gap_s=0.5)
+            capacity.free += 30
             queue.grant_waiting()
             replies = await asyncio.gather(*tasks)
             ok = [r.reservation_id for r in replies if r.code == ResultCode.OK]
-            return sorted(ok), sorted(room.granted), queue.waiters
+            return sorted(ok), sorted(capacity.granted), queue.waiters
 
         ok, granted, waiters = run_virtual(scenario)
         self.assertEqual(ok, granted)
