--- a/tests/endpoints/test_reservations.py
+++ b/tests/endpoints/test_reservations.py
@@ -1,4 +1,4 @@
-"""Tests of granting, using and giving back reservations."""
+"""Tests of granting, dispatching and releasing reservations."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class SlowLink:
-    """A link to an owner that grants late."""
+    """A link to an owner that grants after a delay."""
 
     def __init__(self, delay_s: float) -> None:
         self.delay_s = delay_s
@@ -40,7 +40,7 @@
         self.settings = PeersSettings()
 
     async def call(self, body, timeout_s=None):
-        """Answers a call."""
+        """Returns the reply to a call."""
         if isinstance(body, ReserveRequest):
             await asyncio.sleep(self.delay_s)
             return ReserveReply(reservation_id="late")
@@ -58,7 +58,7 @@
 
 
 def release_of(reply: ReserveReply) -> ReleaseRequest:
-    """Returns the message that gives a reservation back."""
+    """Returns the message that releases a reservation."""
     return ReleaseRequest(endpoint=ENGINE, reservation_id=reply.reservation_id)
 
 
@@ -73,11 +73,11 @@
         self.assertEqual(reply.code, ResultCode.QUEUE_FULL)
         self.assertGreater(reply.retry_after_s, 0)
 
-    def test_unused_reservation_expires_by_the_askers_clock(self):
+    def test_unused_reservation_expires_by_the_requesters_clock(self):
         async def scenario():
             client = make_reservation_client(make_endpoint_manager())
             held = await client.reserve(make_reserve_request())
-            await asyncio.sleep(1.01)  # as a pause before the dispatch would
+            await asyncio.sleep(1.01)  # simulates a pause before the dispatch
             with self.assertRaises(DispatchRefusedError):
                 client.begin_dispatch(held, ATTEMPT)
             fresh = await client.reserve(make_reserve_request())
@@ -87,10 +87,10 @@
 
         self.assertEqual(run_virtual(scenario), 1)
 
-    def test_time_in_the_queue_does_not_count(self):
+    def test_time_in_the_queue_does_not_count_towards_expiry(self):
         async def scenario():
-            table = make_endpoint_manager(cold_max_running=1)
-            client = make_reservation_client(table)
+            manager = make_endpoint_manager(cold_max_running=1)
+            client = make_reservation_client(manager)
             first = await client.reserve(make_reserve_request())
             waiting = asyncio.create_task(
                 client.reserve(make_reserve_request(max_wait_s=5))
@@ -102,20 +102,20 @@
 
         self.assertAlmostEqual(run_virtual(scenario), 1.0, places=6)
 
-    def test_zone_out_after_the_grant_stops_the_dispatch(self):
+    def test_zone_out_after_the_grant_prevents_the_dispatch(self):
         async def scenario():
-            table = make_endpoint_manager()
-            client = make_reservation_client(table)
+            manager = make_endpoint_manager()
+            client = make_reservation_client(manager)
             held = await client.reserve(make_reserve_request())
             out = changes(endpoint(), zone_out=True)
-            table.state.join_ticket(Ticket(number=2, changes=out))
+            manager.state.join_ticket(Ticket(number=2, changes=out))
             with self.assertRaises(DispatchRefusedError):
                 client.begin_dispatch(held, ATTEMPT)
             return (await client.reserve(make_reserve_request())).code
 
         self.assertEqual(run_virtual(scenario), ResultCode.NO_ENDPOINT)
 
-    def test_late_grant_is_given_back(self):
+    def test_late_grant_is_released(self):
         async def scenario():
             client = make_reservation_client(make_endpoint_manager())
             link = SlowLink(3)
@@ -136,41 +136,41 @@
         self.assertEqual(code, ResultCode.PEER_UNREACHABLE)
         self.assertEqual(released, ["late", "late"])
 
-    def test_vanished_asker_keeps_no_room(self):
+    def test_cancelled_requester_holds_no_reservation(self):
         async def scenario():
-            table = make_endpoint_manager(cold_max_running=1)
-            ledger = table.ledgers[ENGINE]
-            first = await table.reserve(make_reserve_request(), "peer")
+            manager = make_endpoint_manager(cold_max_running=1)
+            ledger = manager.ledgers[ENGINE]
+            first = await manager.reserve(make_reserve_request(), "peer")
             granted = asyncio.create_task(
-                table.reserve(make_reserve_request(max_wait_s=9), "p")
+                manager.reserve(make_reserve_request(max_wait_s=9), "p")
             )
             await asyncio.sleep(0.01)
-            table.release(release_of(first))
+            manager.release(release_of(first))
             granted.cancel()  # granted, but the reply is not sent yet
             await asyncio.sleep(0.01)
             after_cancel = len(ledger.reservations)
-            second = await table.reserve(make_reserve_request(), "peer")
+            second = await manager.reserve(make_reserve_request(), "peer")
             waiter = asyncio.create_task(
-                table.reserve(make_reserve_request(max_wait_s=9), "p")
+                manager.reserve(make_reserve_request(max_wait_s=9), "p")
             )
             await asyncio.sleep(0.01)
             waiter.cancel()
             await asyncio.sleep(0.01)
-            table.release(release_of(second))
+            manager.release(release_of(second))
             return after_cancel, len(ledger.reservations)
 
         self.assertEqual(run_virtual(scenario), (0, 0))
 
     def test_release_counts_once(self):
         async def scenario():
-            table = make_endpoint_manager()
-            client = make_reservation_client(table)
+            manager = make_endpoint_manager()
+            client = make_reservation_client(manager)
             held = await client.reserve(make_reserve_request())
             client.begin_dispatch(held, ATTEMPT)
             work = held.work
             await client.release(held, succeeded=True)
             await client.release(held, succeeded=True)
-            table.release(
+            manager.release(
                 ReleaseRequest(
                     endpoint=ENGINE,
                     reservation_id=held.id,
@@ -178,20 +178,19 @@
                     succeeded=True,
                 )
             )
-            table.reservation_reconciler.note_report(
-                "me", [work]
-            )  # crossed the release
-            ledger = table.ledgers[ENGINE]
+            # The report was sent before the release.
+            manager.reservation_reconciler.record_report("me", [work])
+            ledger = manager.ledgers[ENGINE]
             return ledger.warm_up.successes, len(ledger.reservations)
 
         self.assertEqual(run_virtual(scenario), (1, 0))
 
-    def test_cold_endpoint_needs_strict_rights_and_says_so_at_once(self):
+    def test_cold_endpoint_without_a_lease_is_refused_at_once(self):
         async def scenario():
-            table = make_endpoint_manager()
-            table.rights.strict = False
+            manager = make_endpoint_manager()
+            manager.leases.held = False
             start = asyncio.get_running_loop().time()
-            reply = await table.reserve(
+            reply = await manager.reserve(
                 make_reserve_request(max_wait_s=5), "me"
             )
             return reply.code, asyncio.get_running_loop().time() - start
@@ -210,23 +209,23 @@
 
         run_virtual(scenario)
 
-    def test_regained_rights_need_a_new_survey(self):
+    def test_regained_lease_requires_a_new_work_list(self):
         async def scenario():
-            table = make_endpoint_manager()
-            ledger = table.ledgers[ENGINE]
-            codes = [(await table.reserve(make_reserve_request(), "me")).code]
-            table.rights.strict = False
+            manager = make_endpoint_manager()
+            ledger = manager.ledgers[ENGINE]
+            codes = [(await manager.reserve(make_reserve_request(), "me")).code]
+            manager.leases.held = False
             codes.append(
-                (await table.reserve(make_reserve_request(), "me")).code
+                (await manager.reserve(make_reserve_request(), "me")).code
             )
             await asyncio.sleep(10)
-            table.rights.strict = True
+            manager.leases.held = True
             codes.append(
-                (await table.reserve(make_reserve_request(), "me")).code
+                (await manager.reserve(make_reserve_request(), "me")).code
             )
             ledger.work_listed_at = asyncio.get_running_loop().time()
             codes.append(
-                (await table.reserve(make_reserve_request(), "me")).code
+                (await manager.reserve(make_reserve_request(), "me")).code
             )
             return codes
 
@@ -236,38 +235,38 @@
             [ResultCode.OK, pending, pending, ResultCode.OK],
         )
 
-    def test_lost_release_is_made_good_by_reports(self):
+    def test_lost_release_is_corrected_by_reports(self):
         async def scenario():
-            table = make_endpoint_manager()
-            reply = await table.reserve(make_reserve_request(), "peer")
+            manager = make_endpoint_manager()
+            reply = await manager.reserve(make_reserve_request(), "peer")
             counts = []
             for _ in range(4):
-                table.reservation_reconciler.note_report("peer", [])
-                counts.append(len(table.ledgers[ENGINE].reservations))
+                manager.reservation_reconciler.record_report("peer", [])
+                counts.append(len(manager.ledgers[ENGINE].reservations))
                 await asyncio.sleep(1.5)
             return reply.code, counts
 
         self.assertEqual(run_virtual(scenario), (ResultCode.OK, [1, 1, 1, 0]))
 
-    def test_grant_on_an_earlier_start_is_not_used(self):
+    def test_grant_on_an_earlier_boot_id_is_not_dispatched(self):
         async def scenario():
-            table = make_endpoint_manager()
-            client = make_reservation_client(table)
+            manager = make_endpoint_manager()
+            client = make_reservation_client(manager)
             held = await client.reserve(make_reserve_request())
-            table.note_load(ENGINE, LoadReport(boot_id="b2"), 0.0)
+            manager.on_load_report(ENGINE, LoadReport(boot_id="b2"), 0.0)
             with self.assertRaises(DispatchRefusedError):
                 client.begin_dispatch(held, ATTEMPT)
 
         run_virtual(scenario)
 
-    def test_release_reaches_a_ledger_that_is_being_given_up(self):
+    def test_release_reaches_the_ledger_of_a_former_owner(self):
         async def scenario():
-            table = make_endpoint_manager()
-            client = make_reservation_client(table)
+            manager = make_endpoint_manager()
+            client = make_reservation_client(manager)
             held = await client.reserve(make_reserve_request())
             held.owner_id = "peer"
-            table.owners = OtherOwner()
+            manager.owners = OtherOwner()
             await client.release(held, succeeded=False)
-            return len(table.ledgers[ENGINE].reservations)
+            return len(manager.ledgers[ENGINE].reservations)
 
         self.assertEqual(run_virtual(scenario), 0)
