--- a/src/auburnswitch/endpoints/client.py
+++ b/src/auburnswitch/endpoints/client.py
@@ -300,7 +300,7 @@
         if frames:
             yield frames
     raise EndpointFailureError(
-        "the stream ended without its end marker", sent=True, lost=True
+        "the stream ended without its end mark", sent=True, lost=True
     )
 
 
@@ -328,7 +328,7 @@
         )
     except (ValueError, LookupError, TypeError, AttributeError) as error:
         raise EndpointFailureError(
-            "the endpoint sent a malformed frame",
+            "the endpoint sent a frame that cannot be read",
             sent=True,
             lost=False,
         ) from error
--- a/src/auburnswitch/endpoints/endpoint_manager.py
+++ b/src/auburnswitch/endpoints/endpoint_manager.py
@@ -45,7 +45,7 @@
     from auburnswitch.schema.settings import Settings
 
 MAX_REPLY_HINTS: Final = 3
-HINT_BATCH_S: Final = 0.05  # heartbeats to peers are spread over an interval
+HINT_BATCH_MAX_AGE_S: Final = 0.05  # heartbeats are spread over an interval
 _NEVER: Final = float("-inf")
 
 
@@ -282,7 +282,7 @@
         """Adds hints of the owned endpoints to a heartbeat."""
         built_at, hints = self.hint_batch
         now = monotonic_s()
-        if now >= built_at + HINT_BATCH_S:
+        if now >= built_at + HINT_BATCH_MAX_AGE_S:
             hints = [self.local_hint(name) for name in self.owned()]
             self.hint_batch = (now, hints)
         heartbeat.hints = hints
--- a/src/auburnswitch/endpoints/engine_work.py
+++ b/src/auburnswitch/endpoints/engine_work.py
@@ -50,9 +50,11 @@
     caches = await _read(client, spec, "/v1/kv")
     try:
         work_items = [
-            _stream(item) for item in streams["streams"] if _runs(item)
+            _parse_stream(item)
+            for item in streams["streams"]
+            if _is_running(item)
         ]
-        return work_items + [_cache(item) for item in caches["caches"]]
+        return work_items + [_parse_cache(item) for item in caches["caches"]]
     except (LookupError, TypeError, ValueError) as error:
         raise EndpointFailureError(
             "the engine's stream or KV cache list is malformed",
@@ -73,26 +75,26 @@
         return await response.json()
 
 
-def _runs(item: dict[str, Any]) -> bool:
+def _is_running(item: dict[str, Any]) -> bool:
     return not item["finished"]
 
 
-def _stream(item: dict[str, Any]) -> EngineWork:
-    key = _key(item)
+def _parse_stream(item: dict[str, Any]) -> EngineWork:
+    key = _parse_key(item)
     request_id = quote(key.request_id, safe="")
     path = f"/v1/streams/{request_id}/{key.attempt}"
     return EngineWork(key=key, path=path, tokens=int(item["tokens"]))
 
 
-def _cache(item: dict[str, Any]) -> EngineWork:
+def _parse_cache(item: dict[str, Any]) -> EngineWork:
     return EngineWork(
-        key=_key(item),
+        key=_parse_key(item),
         path=f"/v1/kv/{quote(item['kv_id'], safe='')}",
         tokens=int(item["tokens"]),
     )
 
 
-def _key(item: dict[str, Any]) -> AttemptKey:
+def _parse_key(item: dict[str, Any]) -> AttemptKey:
     return AttemptKey(
         member_id=str(item["member_id"]),
         request_id=str(item["request_id"]),
--- a/src/auburnswitch/endpoints/load_monitor.py
+++ b/src/auburnswitch/endpoints/load_monitor.py
@@ -65,7 +65,7 @@
         """Starts and cancels pollers as ownership changes."""
         while True:
             self._check_pause()
-            self._update()
+            self._update_pollers()
             self.reservations.report_local_reservations()
             await asyncio.sleep(self.settings.endpoints.load_interval_s / 2)
 
@@ -75,7 +75,7 @@
             self.endpoint_manager.on_pause()
         self.updated_at = now
 
-    def _update(self) -> None:
+    def _update_pollers(self) -> None:
         owned = set(self.endpoint_manager.owned())
         for name in owned - self.pollers.keys():
             task = self.tasks.start(self._poll(name), f"load {name}")
--- a/src/auburnswitch/endpoints/reservations.py
+++ b/src/auburnswitch/endpoints/reservations.py
@@ -245,7 +245,7 @@
 
     def _refusal(self, held: HeldReservation, attempt: Attempt) -> str:
         if held.id not in self.held:
-            return "the reservation was released"
+            return "the reservation was given back"
         if (
             held.dispatched_at is None
             and monotonic_s() > held.dispatch_deadline
@@ -254,7 +254,7 @@
         if held.work.attempt not in (0, attempt.number):
             return "the reservation is in use"
         if self.membership.is_isolated():
-            return "this daemon is isolated and may have missed changes"
+            return "this daemon may have missed changes"
         if self.endpoint_manager.is_unschedulable(held.endpoint):
             return "the endpoint receives no new work"
         hint = self.endpoint_manager.latest_hint(held.endpoint)
@@ -266,7 +266,7 @@
             held.dispatch_deadline == float("inf")
             or hint.boot_id != held.boot_id
         ):
-            return "the endpoint has become cold since the grant"
+            return "the endpoint has turned cold since the grant"
         return ""
 
     def _check_freed(self, held: HeldReservation) -> None:
--- a/tests/endpoints/test_phases.py
+++ b/tests/endpoints/test_phases.py
@@ -74,7 +74,7 @@
 
 
 class PhaseTest(unittest.TestCase):
-    def after(self, scenario, **values) -> Driver:
+    def run_when_warm(self, scenario, **values) -> Driver:
         """Returns the driver once a scenario has run on a warm endpoint."""
 
         async def run():
@@ -137,13 +137,13 @@
         async def scenario(driver):
             driver.load(boot_id="b2")
 
-        self.assert_cold(self.after(scenario))
+        self.assert_cold(self.run_when_warm(scenario))
 
     def test_dropped_connection_is_cold(self):
         async def scenario(driver):
             await driver.run(succeeded=False, endpoint_lost=True)
 
-        driver = self.after(scenario)
+        driver = self.run_when_warm(scenario)
         self.assert_cold(driver)
         lingering = list(driver.ledger.reservations)  # it may still run
         self.assertEqual(len(lingering), 1)
@@ -163,7 +163,7 @@
             for _ in range(3):
                 await driver.run(first_token_s=5)
 
-        self.assert_cold(self.after(scenario))
+        self.assert_cold(self.run_when_warm(scenario))
 
     def test_nonconsecutive_slow_first_tokens_stay_warm(self):
         async def scenario(driver):
@@ -171,7 +171,7 @@
             await driver.succeed(3)
             await driver.run(first_token_s=5)
 
-        driver = self.after(scenario)
+        driver = self.run_when_warm(scenario)
         self.assertEqual(driver.ledger.phase, EndpointPhase.WARM)
 
     def test_report_without_the_known_work_is_cold(self):
@@ -182,7 +182,7 @@
                 driver.client.report_local_reservations()
                 driver.load()
 
-        self.assert_cold(self.after(scenario))
+        self.assert_cold(self.run_when_warm(scenario))
 
     def test_lagging_report_is_ignored(self):
         async def scenario(driver):
@@ -192,7 +192,7 @@
             driver.client.report_local_reservations()
             driver.load()
 
-        driver = self.after(scenario)
+        driver = self.run_when_warm(scenario)
         self.assertEqual(driver.ledger.phase, EndpointPhase.WARM)
 
     def test_unreachable_endpoint_is_down_then_cold(self):
@@ -203,7 +203,7 @@
             self.assertEqual(reply.code, ResultCode.NO_ENDPOINT)
             driver.load()
 
-        self.assert_cold(self.after(scenario))
+        self.assert_cold(self.run_when_warm(scenario))
 
     def test_zone_that_returns_is_cold(self):
         async def scenario(driver):
@@ -212,7 +212,7 @@
             driver.apply(3, out=False)
             await driver.client.release(held, succeeded=True)
 
-        driver = self.after(scenario)
+        driver = self.run_when_warm(scenario)
         self.assert_cold(driver)
         self.assertEqual(driver.ledger.warm_up.successes, 0)
 
@@ -226,7 +226,7 @@
             with self.assertRaises(DispatchRefusedError):
                 driver.client.begin_dispatch(held, attempt)
 
-        self.after(scenario)
+        self.run_when_warm(scenario)
 
     def test_take_over_adopts_the_phase_of_the_same_boot_id(self):
         async def scenario():
--- a/tests/endpoints/test_unschedulable.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -25,7 +25,7 @@
 ANSWER_TOKENS = 200  # 5 s at the engine's decode step
 
 
-def starts(harness: FleetHarness, after: float) -> list[float]:
+def start_times(harness: FleetHarness, after: float) -> list[float]:
     """Returns the times at which work started on the engine."""
     records = harness.fleet.history.select(
         HistoryKind.REQUEST_STARTED, actor=ENGINE
@@ -71,7 +71,7 @@
                 await load
                 start_delays_s = [
                     at - unschedulable_at
-                    for at in starts(harness, unschedulable_at)
+                    for at in start_times(harness, unschedulable_at)
                 ]
                 if restore is not None:
                     await restore(harness)
@@ -90,11 +90,11 @@
             change = harness.fleet.zone_change(ZONE)
             await harness.fleet.apply(harness.fleet.ticket([change]))
             self.assertEqual(harness.phase(ENGINE), "COLD")
-            back_at = monotonic_s()
+            restored_at = monotonic_s()
             for _ in range(12):
                 harness.send("entry-1", answer=ANSWER_TOKENS)
             await asyncio.sleep(4)
-            self.assertLessEqual(len(starts(harness, back_at)), 2)
+            self.assertLessEqual(len(start_times(harness, restored_at)), 2)
             await harness.load(20, 4)
             self.assertEqual(harness.phase(ENGINE), "WARM")
 
@@ -157,7 +157,7 @@
                 harness.send(owner)
 
         harness, _ = self.run_unschedulable(make_unschedulable)
-        late_starts = starts(harness, self.out_at + MAX_DELAY_S)
+        late_starts = start_times(harness, self.out_at + MAX_DELAY_S)
         self.assertEqual(late_starts, [])
 
     def test_only_endpoint_of_a_service(self):
@@ -171,7 +171,7 @@
                 harness.statuses.clear()
                 await asyncio.gather(*(harness.send("entry-0") for _ in "123"))
                 took_s = monotonic_s() - out_at
-                return harness.statuses, took_s, starts(harness, out_at)
+                return harness.statuses, took_s, start_times(harness, out_at)
 
         statuses, took_s, started = run_virtual(run, FreezableLoop)
         self.assertEqual(statuses, [503] * 3)
