--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -9,7 +9,10 @@
 from typing import TYPE_CHECKING, Final
 
 from auburnswitch.endpoints.groups import release_group, reserve_group
-from auburnswitch.endpoints.phases import STRICT_PHASES, UNSCHEDULABLE_PHASES
+from auburnswitch.endpoints.phases import (
+    LEASE_REQUIRED_PHASES,
+    UNSCHEDULABLE_PHASES,
+)
 from auburnswitch.results import Refusal, refusal
 from auburnswitch.routing.length_classes import estimate_tokens
 from auburnswitch.schema.objects import ServiceKind
@@ -176,7 +179,7 @@
             and not endpoint_manager.is_unschedulable(name)
             and endpoint_manager.latest_hint(name).phase
             not in UNSCHEDULABLE_PHASES
-            and endpoint_manager.latest_hint(name).phase not in STRICT_PHASES
+            and endpoint_manager.latest_hint(name).phase not in LEASE_REQUIRED_PHASES
         ]
 
     def _choose_group(
