--- a/src/auburnswitch/endpoints/orphans.py
+++ b/src/auburnswitch/endpoints/orphans.py
@@ -187,7 +187,7 @@
             return not self._has(ledger.name, key.request_id, key.attempt)
         status = view.peers.get(key.member_id)
         oldest = monotonic_s() - view.settings.suspect_after_s
-        heard = status is not None and status.heard_at >= oldest
+        heard = status is not None and status.last_received_at >= oldest
         if heard:
             return await self._is_given_up(ledger, key)
         if key.member_id in view.roster_ids():
--- a/src/auburnswitch/members/__init__.py
+++ b/src/auburnswitch/members/__init__.py
@@ -1,3 +1,3 @@
-"""Knows which daemons are alive."""
+"""Membership, peer communication and endpoint ownership of daemons."""
 
 from __future__ import annotations
--- a/src/auburnswitch/members/cells.py
+++ b/src/auburnswitch/members/cells.py
@@ -1,8 +1,8 @@
 """Splits a large fleet into cells of endpoints and daemons.
 
-A daemon prefers the endpoints of its own cell and tells of its work there only
-the daemons of that cell, so that what it hears and weighs does not grow with
-the fleet. Small fleets are one cell.
+A daemon prefers the endpoints of its own cell and reports its work on them only
+to the daemons of that cell, so that the messages it receives and the endpoints
+it compares do not grow with the fleet. Small fleets are one cell.
 """
 
 from __future__ import annotations
@@ -23,19 +23,20 @@
 
 
 class Cells:
-    """The cells as this daemon knows them.
+    """Assigns endpoints and daemons to cells, as computed by this daemon.
 
-    Daemons may see different endpoints for a moment and disagree on a few
-    names; that costs accuracy and nothing else.
+    Daemons may have different endpoint lists for a short time and then assign
+    a few names to different cells; this only makes load estimates less
+    accurate.
 
     Attributes:
-        installation: The endpoints.
-        instance: This daemon's instance.
+        installation: Provides the endpoint list.
+        instance: Name of this daemon's instance.
     """
 
     __slots__ = (
-        "_mine",
-        "_own",
+        "_local_cell",
+        "_local_endpoints",
         "_revision",
         "_ring",
         "_sizes",
@@ -49,33 +50,33 @@
         self._revision = -1
         self._sizes: collections.Counter[str] = collections.Counter()
         self._ring = HashRing(members=["0"])
-        self._mine = "0"
-        self._own: dict[str, list[KnownEndpoint]] = {}
+        self._local_cell = "0"
+        self._local_endpoints: dict[str, list[KnownEndpoint]] = {}
 
     @property
     def count(self) -> int:
-        """How many cells there are."""
+        """Number of cells."""
         self._refresh()
         return len(self._ring.members)
 
     def is_cell_peer(self, instance: str) -> bool:
-        """Whether a daemon is of this daemon's cell."""
-        return self.count == 1 or self._ring.owner(instance) == self._mine
+        """Returns whether a daemon is in this daemon's cell."""
+        return self.count == 1 or self._ring.owner(instance) == self._local_cell
 
     def spans_cells(self, service: str) -> bool:
-        """Whether the endpoints of a service are in several cells."""
+        """Returns whether the endpoints of a service are in several cells."""
         return (
             self.count > 1 and self._sizes[service] > MAX_SINGLE_CELL_ENDPOINTS
         )
 
     def is_cell_endpoint(self, endpoint: str) -> bool:
-        """Whether an endpoint is of this daemon's cell."""
-        return self.count == 1 or self._ring.owner(endpoint) == self._mine
+        """Returns whether an endpoint is in this daemon's cell."""
+        return self.count == 1 or self._ring.owner(endpoint) == self._local_cell
 
     def cell_endpoints(self, service: str) -> list[KnownEndpoint]:
-        """Returns the endpoints of a split service in this daemon's cell."""
+        """Returns the local cell's endpoints of a service in several cells."""
         self._refresh()
-        return self._own.get(service, [])
+        return self._local_endpoints.get(service, [])
 
     def _refresh(self) -> None:
         revision = self.installation.endpoints_revision
@@ -84,7 +85,7 @@
         self._revision = revision
         endpoints = self.installation.endpoints.values()
         self._sizes = collections.Counter(
-            known.entry.service_name for known in endpoints
+            endpoint.entry.service_name for endpoint in endpoints
         )
         largest = max(self._sizes.values(), default=0)
         count = 1
@@ -92,13 +93,15 @@
             count = largest // ENDPOINTS_PER_CELL
         if count != len(self._ring.members):
             self._ring = HashRing(members=[str(n) for n in range(count)])
-            self._mine = self._ring.owner(self.instance)
-        self._own = {}
+            self._local_cell = self._ring.owner(self.instance)
+        self._local_endpoints = {}
         if count > 1:
-            for known in endpoints:
-                if self._ring.owner(known.entry.id) == self._mine:
-                    own = self._own.setdefault(known.entry.service_name, [])
-                    own.append(known)
+            for endpoint in endpoints:
+                if self._ring.owner(endpoint.entry.id) == self._local_cell:
+                    service_endpoints = self._local_endpoints.setdefault(
+                        endpoint.entry.service_name, []
+                    )
+                    service_endpoints.append(endpoint)
 
 
 __all__ = ["Cells"]
--- a/src/auburnswitch/members/claim_forwarder.py
+++ b/src/auburnswitch/members/claim_forwarder.py
@@ -1,7 +1,8 @@
-"""Sends claims to the daemon that commits their shard.
+"""Forwards claims to the daemon that commits their shard.
 
-Any daemon may change any shard by a conditional write. When one of them does
-so for all, writes do not conflict and hold the claims of the whole fleet.
+Any daemon may change any shard by a conditional write. With one committing
+daemon per shard, writes do not conflict and each write can batch claims of the
+whole fleet.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
 
 
 class ClaimForwarder:
-    """Both sides of forwarded claims.
+    """Forwards claims to peers and commits claims that peers forward.
 
     Attributes:
-        claims: This daemon's claims.
-        membership: Links to the other daemons.
+        claims: This daemon's claim store.
+        membership: Provides the links to the other daemons.
     """
 
     __slots__ = ("claims", "membership")
@@ -50,24 +51,26 @@
         claims.forward = self.forward
 
     def register(self, server: PeerServer) -> None:
-        """Registers the handler of forwarded claims."""
+        """Registers the handler for claims forwarded by peers."""
         server.handlers[KeyClaimRequest] = self._on_request
 
     async def forward(
         self, shard: str, pending: PendingChange
     ) -> ClaimOutcome | None:
-        """Has another daemon make a change, and notes if it may have.
+        """Asks the daemon that commits a shard to commit a change.
+
+        Sets ``pending.written`` if the other daemon may have written it.
 
         Returns:
-            The outcome; None if this daemon has to make the change itself,
-            even though the other may have made it.
+            The outcome; None if this daemon has to commit the change itself.
+            Even then the other daemon may have committed it.
         """
         change = pending.change
         view = self.membership.view
-        home = rendezvous_owner(shard, view.live_ids())
-        link = self.membership.links.get(home)
+        committer_id = rendezvous_owner(shard, view.live_ids())
+        link = self.membership.links.get(committer_id)
         if (
-            home == view.local_member.id
+            committer_id == view.local_member.id
             or link is None
             or link.connection is None
         ):
--- a/src/auburnswitch/members/entry_directory.py
+++ b/src/auburnswitch/members/entry_directory.py
@@ -1,4 +1,4 @@
-"""Finds the other entry daemons through the store."""
+"""Discovers the other entry daemons through the store."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
     Attributes:
         local_record: This daemon's record.
-        store: The store.
+        store: Client of the platform's store.
     """
 
     __slots__ = ("local_record", "store")
@@ -43,27 +43,27 @@
         self.store = store
 
     async def join(self) -> tuple[bytes, list[DaemonRecord]]:
-        """Waits until this daemon is registered.
+        """Registers this daemon, retrying with backoff until that succeeds.
 
         Returns:
-            The key that all daemons share, and the records of the others.
+            The shared key and the records of the other daemons.
         """
-        pause_s = INITIAL_BACKOFF_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            joined = await self._try_join()
-            if not isinstance(joined, str):
-                log_event(EventId.DIRECTORY_JOINED, others=len(joined[1]))
-                return joined
-            log_event(EventId.DIRECTORY_FAILED, reason=joined)
-            await asyncio.sleep(pause_s)
-            pause_s = min(pause_s * BACKOFF_FACTOR, MAX_BACKOFF_S)
+            outcome = await self._try_join()
+            if not isinstance(outcome, str):
+                log_event(EventId.DIRECTORY_JOINED, others=len(outcome[1]))
+                return outcome
+            log_event(EventId.DIRECTORY_FAILED, reason=outcome)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(backoff_s * BACKOFF_FACTOR, MAX_BACKOFF_S)
 
     async def unregister(self, instance: str) -> None:
-        """Deletes the record of a daemon that is gone for good."""
+        """Deletes the record of a daemon that will not return."""
         await self.store.delete(DAEMONS_KIND, instance)
 
     async def _try_join(self) -> tuple[bytes, list[DaemonRecord]] | str:
-        """Tries once; returns what went wrong, if anything did.
+        """Makes one attempt; returns the reason as text if it fails.
 
         The record is written before the others are read, so that of two
         daemons that start together at least one finds the other.
@@ -77,32 +77,32 @@
         if isinstance(listing, StoreFailure):
             return f"list: {listing.reason}"
         by_name = {stored.name: stored for stored in listing.objects}
-        mine = by_name.pop(name, None)
-        if mine is None or mine.body != body:
+        own_object = by_name.pop(name, None)
+        if own_object is None or own_object.body != body:
             replaced = await self.store.replace(DAEMONS_KIND, name, body)
             if isinstance(replaced, StoreFailure):
                 return f"record: {replaced.reason}"
         key = (
-            _key(by_name.pop(SHARED_KEY_OBJECT_NAME, None))
-            or await self._make_key()
+            _decode_key(by_name.pop(SHARED_KEY_OBJECT_NAME, None))
+            or await self._create_key()
         )
         if key is None:
-            return "the key is not known yet"
-        others = [_record(stored) for stored in by_name.values()]
+            return "shared key not available yet"
+        others = [_decode_record(stored) for stored in by_name.values()]
         return key, [record for record in others if record is not None]
 
-    async def _make_key(self) -> bytes | None:
+    async def _create_key(self) -> bytes | None:
         key = secrets.token_bytes(SHARED_KEY_BYTES)
-        made = await self.store.create(
+        created = await self.store.create(
             DAEMONS_KIND, SHARED_KEY_OBJECT_NAME, {"key": key.hex()}
         )
-        match made:
+        match created:
             case Conflict() | StoreFailure():
-                return None  # another daemon made it, or may have: read again
+                return None  # another daemon may have created it: retry
         return key
 
 
-def _key(stored: StoredObject | None) -> bytes | None:
+def _decode_key(stored: StoredObject | None) -> bytes | None:
     if stored is None:
         return None
     try:
@@ -111,7 +111,7 @@
         return None
 
 
-def _record(stored: StoredObject) -> DaemonRecord | None:
+def _decode_record(stored: StoredObject) -> DaemonRecord | None:
     try:
         return from_json(DaemonRecord, stored.body)
     except SchemaError as error:
--- a/src/auburnswitch/members/frames.py
+++ b/src/auburnswitch/members/frames.py
@@ -2,9 +2,9 @@
 
 A frame is a length (4 bytes), a sequence number (8 bytes), a message
 authentication code (16 bytes) and an envelope in thrift's binary protocol. The
-key of a connection comes from the shared key and a nonce of each side, and the
-sequence number must rise by one with each frame, so neither a changed nor a
-replayed frame is accepted.
+key of a connection is derived from the shared key and a nonce of each side, and
+the sequence number must increase by one with each frame, so modified and
+replayed frames are rejected.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
     ValueError,
 )
 _PROTOCOL: Final = TBinaryProtocolFactory()
-_FIELDS: Final[dict[type[Struct], str]] = {
+_FIELD_BY_MESSAGE: Final[dict[type[Struct], str]] = {
     KeyClaimRequest: "key_claim",
     KeyClaimReply: "key_claim_reply",
     Heartbeat: "heartbeat",
@@ -77,10 +77,10 @@
 
 
 class FrameError(Exception):
-    """A peer's frame is not acceptable.
+    """A peer's frame or message is rejected.
 
     Attributes:
-        code: Result code that says why.
+        code: Result code for the reason.
     """
 
     def __init__(self, code: ResultCode, reason: str) -> None:
@@ -89,28 +89,31 @@
 
 
 def wrap_message(
-    body: Struct, *, call_id: int = 0, is_reply: bool = False
+    message: Struct, *, call_id: int = 0, is_reply: bool = False
 ) -> Envelope:
     """Wraps a message in an envelope."""
     envelope = Envelope(call_id=call_id, is_reply=is_reply)
-    setattr(envelope, _FIELDS[type(body)], body)
+    setattr(envelope, _FIELD_BY_MESSAGE[type(message)], message)
     return envelope
 
 
 def unwrap_message(envelope: Envelope) -> Struct:
-    """Returns the one message of an envelope.
+    """Returns the message of an envelope.
 
     Raises:
-        FrameError: There is none, or more than one.
+        FrameError: The envelope has no message, or more than one.
     """
-    bodies = [
-        body
-        for name in _FIELDS.values()
-        if (body := getattr(envelope, name)) is not None
+    messages = [
+        message
+        for name in _FIELD_BY_MESSAGE.values()
+        if (message := getattr(envelope, name)) is not None
     ]
-    if len(bodies) != 1:
-        raise FrameError(ResultCode.BAD_FRAME, "not exactly one message")
-    return bodies[0]
+    if len(messages) != 1:
+        raise FrameError(
+            ResultCode.BAD_FRAME,
+            "envelope does not contain exactly one message",
+        )
+    return messages[0]
 
 
 def derive_session_key(shared_key: bytes, *nonces: str) -> bytes:
@@ -123,8 +126,8 @@
     """Signs and encodes the frames of one direction.
 
     Attributes:
-        key: Key of this direction.
-        sequence: Number of the next frame.
+        key: Session key of this direction.
+        sequence: Sequence number of the next frame.
     """
 
     __slots__ = ("key", "sequence")
@@ -134,11 +137,11 @@
         self.sequence = 0
 
     def encode(self, envelope: Envelope) -> bytes:
-        """Returns the next frame."""
+        """Encodes an envelope as the next frame."""
         return self.encode_payload(serialize(envelope, _PROTOCOL))
 
     def encode_payload(self, payload: bytes) -> bytes:
-        """Returns the next frame with an encoded envelope."""
+        """Returns the next frame for an already encoded envelope."""
         mac = _mac(self.key, self.sequence, payload)
         frame = _HEADER.pack(len(payload), self.sequence, mac) + payload
         self.sequence += 1
@@ -146,12 +149,12 @@
 
 
 class FrameReader:
-    """Reads and checks the frames of one direction.
+    """Reads and verifies the frames of one direction.
 
     Attributes:
-        key: Key of this direction.
-        sequence: Number that the next frame must have.
-        max_bytes: Largest payload accepted.
+        key: Session key of this direction.
+        sequence: Sequence number that the next frame must have.
+        max_bytes: Maximum payload size, in bytes.
     """
 
     __slots__ = ("key", "max_bytes", "sequence")
@@ -165,20 +168,24 @@
         """Reads the next frame.
 
         Raises:
-            FrameError: The frame is too long, wrongly signed, out of
-                sequence or cannot be decoded.
+            FrameError: The frame is too long, has a wrong authentication
+                code, is out of sequence or cannot be decoded.
             asyncio.IncompleteReadError: The connection ended.
         """
         header = await stream.readexactly(_HEADER.size)
         length, sequence, mac = _HEADER.unpack(header)
         if length > self.max_bytes:
             raise FrameError(
-                ResultCode.BAD_FRAME, f"{length} bytes are too many"
+                ResultCode.BAD_FRAME,
+                f"frame of {length} bytes exceeds the limit",
             )
         payload = await stream.readexactly(length)
         expected = _mac(self.key, sequence, payload)
         if sequence != self.sequence or not hmac.compare_digest(mac, expected):
-            raise FrameError(ResultCode.BAD_SIGNATURE, "wrong signature")
+            raise FrameError(
+                ResultCode.BAD_SIGNATURE,
+                "wrong message authentication code or sequence number",
+            )
         self.sequence += 1
         return _decode(payload)
 
@@ -189,7 +196,10 @@
 
 
 class _PayloadReader:
-    """Reads a payload; the library's own buffer reads on beyond its end."""
+    """Reads a payload and fails at its end.
+
+    The library's own buffer keeps reading beyond the end.
+    """
 
     __slots__ = ("buffer",)
 
@@ -197,14 +207,14 @@
         self.buffer = io.BytesIO(payload)
 
     def read(self, size: int) -> bytes:
-        """Returns up to as many bytes.
+        """Returns at most ``size`` bytes.
 
         Raises:
-            EOFError: There are none left.
+            EOFError: The payload has been read to its end.
         """
         data = self.buffer.read(size)
         if not data:
-            raise EOFError("the payload is cut short")
+            raise EOFError("payload is truncated")
         return data
 
 
@@ -215,7 +225,9 @@
         transport = TCyBufferedTransport(_PayloadReader(payload))
         envelope.read(_PROTOCOL.get_protocol(transport))
     except _DECODE_ERRORS as error:
-        raise FrameError(ResultCode.BAD_FRAME, "cannot be decoded") from error
+        raise FrameError(
+            ResultCode.BAD_FRAME, "payload cannot be decoded"
+        ) from error
     return envelope
 
 
--- a/src/auburnswitch/members/gossip.py
+++ b/src/auburnswitch/members/gossip.py
@@ -1,4 +1,4 @@
-"""Tells the other entry daemons by datagrams what this one has and knows."""
+"""Publishes this daemon's work and state to the other entry daemons by UDP."""
 
 from __future__ import annotations
 
@@ -34,29 +34,30 @@
     )
 
 ENDED_WORK_BATCH_DELAY_S: Final = 0.02
-MAX_HEARTBEAT_ITEMS: Final = 400  # that fit into one datagram
+MAX_HEARTBEAT_ITEMS: Final = 400  # fit into one datagram
 MAX_DATAGRAM_BYTES: Final = 16_000
-MAX_DIRECT_PEERS: Final = 16  # above which relays pass on
+MAX_DIRECT_PEERS: Final = 16  # relays forward above this
 RELAY_BATCH_DELAY_S: Final = 0.01
 CELL_PEERS_REFRESH_INTERVAL_S: Final = 0.25
 MAX_RELAYED_MESSAGES_PER_FRAME: Final = 100
 
 
 class GossipNode(asyncio.DatagramProtocol):
-    """Sends and receives datagrams.
+    """Sends and receives gossip datagrams.
 
     Attributes:
         local_record: This daemon's record.
-        incarnation: Start of this process, in milliseconds since the epoch.
-        key: Key that all daemons share; empty before it is known.
-        peers: The other daemons by instance.
-        fill_state: Fills in what this daemon knows.
+        incarnation: Start time of this process, in milliseconds since the
+            epoch.
+        key: Key that all daemons share; empty until it is available.
+        peers: The other daemons, by instance.
+        fill_state: Adds this daemon's state versions to a message.
         list_work: Returns all work of this daemon.
-        on_gossip: Called with each accepted datagram.
-        is_reader: Whether peers rely on this daemon's news of the store.
-        is_cell_peer: Tells of an instance whether its daemon is of the same
-            cell.
-        stopping: This daemon stops.
+        on_gossip: Called with each accepted message and its sender.
+        is_reader: Returns whether this daemon reads the store for its peers.
+        is_cell_peer: Returns whether the daemon on an instance is in this
+            daemon's cell.
+        stopping: Whether this daemon is stopping.
     """
 
     def __init__(
@@ -81,10 +82,10 @@
         self.on_gossip = on_gossip
         self.stopping = False
         self._sequence = 0
-        self._ended: dict[bool, list[int]] = {True: [], False: []}
-        self._near: list[GossipPeer] = []
-        self._near_found_at = -CELL_PEERS_REFRESH_INTERVAL_S
-        self._flush: asyncio.TimerHandle | None = None
+        self._ended_work: dict[bool, list[int]] = {True: [], False: []}
+        self._cell_peers: list[GossipPeer] = []
+        self._cell_peers_refreshed_at = -CELL_PEERS_REFRESH_INTERVAL_S
+        self._flush_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._relays = RelaySelector(
             local_record=local_record, live_peers=self.live_peers
@@ -112,86 +113,94 @@
             transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         self._transport = transport  # type: ignore[assignment]
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores that a peer's port is closed: its silence shows the same."""
+        """Ignores errors; the liveness timeout detects a closed peer port."""
 
     def add_peer(self, record: DaemonRecord) -> GossipPeer:
-        """Adds a daemon, or notes its new address."""
+        """Adds a daemon, or updates its record."""
         peer = self.peers.get(record.instance)
         if peer is None:
             peer = self.peers[record.instance] = GossipPeer(record=record)
-            self._near_found_at = -CELL_PEERS_REFRESH_INTERVAL_S
+            self._cell_peers_refreshed_at = -CELL_PEERS_REFRESH_INTERVAL_S
         peer.record = record
         return peer
 
     def remove_silent_peers(self, silence_s: float) -> list[str]:
-        """Forgets daemons that were not heard of for a time.
+        """Removes peers from which nothing was received for a time.
+
+        Args:
+            silence_s: Time without a message, in seconds.
 
         Returns:
-            Their instances.
+            The instances of the removed peers.
         """
-        since = monotonic_s() - silence_s
-        gone = [
+        oldest = monotonic_s() - silence_s
+        silent = [
             name
             for name, peer in self.peers.items()
-            if max(peer.heard_at or 0.0, peer.added_at) < since
+            if max(peer.last_received_at or 0.0, peer.added_at) < oldest
         ]
-        for name in gone:
+        for name in silent:
             del self.peers[name]
-        return gone
+        return silent
 
     def live_peers(self) -> list[GossipPeer]:
-        """Returns the peers that were heard of lately."""
+        """Returns the peers within their liveness timeout."""
         return [peer for peer in self.peers.values() if peer.is_live]
 
     def cell_peers(self) -> list[GossipPeer]:
-        """Returns the peers of this daemon's cell."""
+        """Returns the peers in this daemon's cell."""
         now = monotonic_s()
-        if now >= self._near_found_at + CELL_PEERS_REFRESH_INTERVAL_S:
-            self._near_found_at = now
-            self._near = [
+        if now >= self._cell_peers_refreshed_at + CELL_PEERS_REFRESH_INTERVAL_S:
+            self._cell_peers_refreshed_at = now
+            self._cell_peers = [
                 peer
                 for name, peer in self.peers.items()
                 if self.is_cell_peer(name)
             ]
-        return self._near
+        return self._cell_peers
 
     def send_started_work(
         self, items: list[WorkItem], *, to_all_cells: bool = True
     ) -> None:
-        """Tells peers of work that starts.
+        """Reports started work to peers, with ended work not yet reported.
 
         Args:
-            items: The work.
-            to_all_cells: All peers are told, not just those of the cell.
+            items: The started work.
+            to_all_cells: Sends to all peers rather than to this cell's only.
         """
-        ended = self._ended[to_all_cells]
-        self._ended[to_all_cells] = []
-        message = self._message(items=items, ended=ended)
+        ended = self._ended_work[to_all_cells]
+        self._ended_work[to_all_cells] = []
+        message = self._new_message(items=items, ended=ended)
         if to_all_cells:
             self._send(message)
         else:
-            self._send_near(message)
+            self._send_to_cell(message)
 
     def schedule_ended_work(
-        self, numbers: list[int], *, to_all_cells: bool = True
+        self, ids: list[int], *, to_all_cells: bool = True
     ) -> None:
-        """Tells peers soon of work that has ended."""
-        self._ended[to_all_cells] += numbers
-        if self._flush is None:
+        """Reports ended work to peers after a short batching delay.
+
+        Args:
+            ids: Ids of the ended work items.
+            to_all_cells: Sends to all peers rather than to this cell's only.
+        """
+        self._ended_work[to_all_cells] += ids
+        if self._flush_timer is None:
             loop = asyncio.get_running_loop()
-            self._flush = loop.call_later(
-                ENDED_WORK_BATCH_DELAY_S, self._flush_ended
+            self._flush_timer = loop.call_later(
+                ENDED_WORK_BATCH_DELAY_S, self._flush_ended_work
             )
 
     def send_state(
         self, changes: EndpointChanges | ConfigChanges | None = None
     ) -> None:
-        """Tells all peers what this daemon knows, and what has changed."""
-        message = self._message(items=[], ended=[])
+        """Sends the state versions, and optionally changes, to all peers."""
+        message = self._new_message(items=[], ended=[])
         match changes:
             case EndpointChanges():
                 message.changes = changes
@@ -200,45 +209,47 @@
         self._send_to(self.peers.values(), [message])
 
     def send_engine_reports(self, reports: list[EngineReport]) -> None:
-        """Tells all peers what engines reported."""
-        message = self._message(items=[], ended=[])
+        """Sends engine reports to all peers."""
+        message = self._new_message(items=[], ended=[])
         message.reports = reports
         self._send(message)
 
-    def _flush_ended(self) -> None:
-        self._flush = None
+    def _flush_ended_work(self) -> None:
+        self._flush_timer = None
         for to_all_cells in (True, False):
-            if self._ended[to_all_cells]:
+            if self._ended_work[to_all_cells]:
                 self.send_started_work([], to_all_cells=to_all_cells)
 
     async def run(self) -> None:
-        """Sends heartbeats, to peers of other cells less often."""
-        next_far_at = 0.0
+        """Sends heartbeats until cancelled, less often to other cells."""
+        next_fleet_heartbeat_at = 0.0
         while True:
-            message = self._heartbeat()
-            far_s = heartbeat_interval_s(
+            message = self._new_heartbeat()
+            fleet_interval_s = heartbeat_interval_s(
                 len(self.peers), leading=message.leading
             )
-            near = self.cell_peers()
-            if len(near) >= len(self.peers):
+            cell_peers = self.cell_peers()
+            if len(cell_peers) >= len(self.peers):
                 self._send(message)
-                await asyncio.sleep(far_s)
+                await asyncio.sleep(fleet_interval_s)
                 continue
-            self._send_near(message)
-            if monotonic_s() >= next_far_at:
-                next_far_at = monotonic_s() + far_s
-                self._send(self._message(items=[], ended=[]))
+            self._send_to_cell(message)
+            if monotonic_s() >= next_fleet_heartbeat_at:
+                next_fleet_heartbeat_at = monotonic_s() + fleet_interval_s
+                self._send(self._new_message(items=[], ended=[]))
             await asyncio.sleep(
-                heartbeat_interval_s(len(near), leading=message.leading)
+                heartbeat_interval_s(len(cell_peers), leading=message.leading)
             )
 
-    def _heartbeat(self) -> Gossip:
+    def _new_heartbeat(self) -> Gossip:
         items = self.list_work()[:MAX_HEARTBEAT_ITEMS]
-        message = self._message(items=items, ended=[])
+        message = self._new_message(items=items, ended=[])
         message.complete = True
         return message
 
-    def _message(self, *, items: list[WorkItem], ended: list[int]) -> Gossip:
+    def _new_message(
+        self, *, items: list[WorkItem], ended: list[int]
+    ) -> Gossip:
         self._sequence += 1
         message = Gossip(
             sender=self.local_record.instance,
@@ -256,36 +267,36 @@
         self.fill_state(message)
         return message
 
-    def _send_near(self, message: Gossip) -> None:
-        near = self.cell_peers()
-        if len(near) >= len(self.peers):
+    def _send_to_cell(self, message: Gossip) -> None:
+        cell_peers = self.cell_peers()
+        if len(cell_peers) >= len(self.peers):
             self._send(message)
         else:
-            self._send_to(near, [message])
+            self._send_to(cell_peers, [message])
 
     def _send(self, message: Gossip) -> None:
-        """Sends to all peers, by one relay in each zone if they are many."""
+        """Sends to all peers, through one relay per zone if there are many."""
         if len(self.peers) <= MAX_DIRECT_PEERS:
             self._send_to(self.peers.values(), [message])
             return
         message.relayed = True
-        for zone, members in self._by_zone().items():
+        for zone, members in self._peers_by_zone().items():
             relay = self._relays.relay_for(zone)
             if relay == self.local_record.instance:
-                self._relay(message)
+                self._enqueue_relayed(message)
             elif relay in self.peers:
                 self._send_to([self.peers[relay]], [message], relay=True)
             else:
                 self._send_to(members, [message])
 
-    def _by_zone(self) -> dict[str, list[GossipPeer]]:
+    def _peers_by_zone(self) -> dict[str, list[GossipPeer]]:
         zones: dict[str, list[GossipPeer]] = {self.local_record.zone: []}
         for peer in self.peers.values():
             zones.setdefault(peer.record.zone, []).append(peer)
         return zones
 
-    def _relay(self, message: Gossip) -> None:
-        """Passes a message on to this zone, together with others."""
+    def _enqueue_relayed(self, message: Gossip) -> None:
+        """Queues a message to be forwarded in a batch to this zone."""
         if not self._relayed:
             loop = asyncio.get_running_loop()
             loop.call_later(RELAY_BATCH_DELAY_S, self._flush_relayed)
@@ -293,10 +304,10 @@
 
     def _flush_relayed(self) -> None:
         messages, self._relayed = self._relayed, []
-        members = self._by_zone()[self.local_record.zone]
+        members = self._peers_by_zone()[self.local_record.zone]
         for start in range(0, len(messages), MAX_RELAYED_MESSAGES_PER_FRAME):
-            part = messages[start : start + MAX_RELAYED_MESSAGES_PER_FRAME]
-            self._send_to(members, part)
+            batch = messages[start : start + MAX_RELAYED_MESSAGES_PER_FRAME]
+            self._send_to(members, batch)
 
     def _send_to(
         self,
@@ -312,7 +323,8 @@
         )
         if len(frame) > MAX_DATAGRAM_BYTES:
             for message in messages:
-                message.changes = message.config_changes = None  # is fetched
+                # peers fetch the changes instead
+                message.changes = message.config_changes = None
             frame = encode_signed(
                 self.key, GossipFrame(messages=messages, relay=relay)
             )
@@ -321,7 +333,7 @@
             self._transport.sendto(frame, address)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Takes over what a peer tells."""
+        """Verifies a peer's frame, applies its messages and relays them."""
         if not self.key:
             return
         try:
@@ -333,11 +345,11 @@
             return
         for message in frame.messages:
             if message.sender != self.local_record.instance:
-                self._accept(message)
+                self._apply_message(message)
             if frame.relay:
-                self._relay(message)
+                self._enqueue_relayed(message)
 
-    def _accept(self, message: Gossip) -> None:
+    def _apply_message(self, message: Gossip) -> None:
         record = DaemonRecord(
             instance=message.sender,
             zone=message.zone,
--- a/src/auburnswitch/members/gossip_peer.py
+++ b/src/auburnswitch/members/gossip_peer.py
@@ -1,4 +1,4 @@
-"""What an entry daemon knows of another one."""
+"""Liveness and newest message of another entry daemon."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 MIN_HEARTBEAT_INTERVAL_S: Final = 0.5
 MAX_LEADING_INTERVAL_S: Final = 0.7
 HEARTBEAT_INTERVAL_PER_PEER_S: Final = (
-    0.03  # bounds what a daemon gets in a second
+    0.03  # bounds the heartbeats that a daemon receives per second
 )
 LIVENESS_TIMEOUT_HEARTBEATS: Final = 3.0
 _MS_PER_S: Final = 1000.0
 
 
 class GossipPeer:
-    """Another entry daemon.
+    """State of another entry daemon.
 
     Attributes:
-        record: Where it is reached.
-        last_message: Its newest datagram without its work.
-        heard_at: Loop time at which that came, None before the first.
-        added_at: Loop time at which this daemon learned of it, in seconds.
-        liveness_timeout_s: Silence after which it no longer counts as live,
-            in seconds.
-        last_sequences: Newest datagram of its process, by whether it was
-            relayed.
+        record: The peer's address, zone and link speed.
+        last_message: Newest message of the peer.
+        last_received_at: Loop time at which ``last_message`` was received, in
+            seconds; None before the first message.
+        added_at: Loop time at which the peer was added, in seconds.
+        liveness_timeout_s: Time without a message after which the peer no
+            longer counts as live, in seconds.
+        last_sequences: Newest sequence number of the peer's incarnation, by
+            whether the message was relayed.
     """
 
     __slots__ = (
         "added_at",
-        "heard_at",
         "last_message",
+        "last_received_at",
         "last_sequences",
         "liveness_timeout_s",
         "record",
@@ -50,44 +51,55 @@
         )
         self.record = record
         self.last_message = Gossip()
-        self.heard_at: float | None = None
+        self.last_received_at: float | None = None
 
     @property
     def is_live(self) -> bool:
-        """Whether it was heard of lately and does not stop."""
-        if self.heard_at is None or self.last_message.stopping:
+        """Whether the peer is within its liveness timeout and not stopping."""
+        if self.last_received_at is None or self.last_message.stopping:
             return False
-        return monotonic_s() - self.heard_at < self.liveness_timeout_s
+        return monotonic_s() - self.last_received_at < self.liveness_timeout_s
 
     def store_read_at(self) -> float | None:
-        """Returns the loop time of the newest store read it knows of."""
-        if self.heard_at is None or self.last_message.store_read_age_ms < 0:
+        """Returns the loop time of the newest store read the peer reported.
+
+        Returns:
+            The time in seconds; None if the peer has reported no store read.
+        """
+        if (
+            self.last_received_at is None
+            or self.last_message.store_read_age_ms < 0
+        ):
             return None
-        return self.heard_at - self.last_message.store_read_age_ms / _MS_PER_S
+        return (
+            self.last_received_at
+            - self.last_message.store_read_age_ms / _MS_PER_S
+        )
 
     def is_newer(self, message: Gossip) -> bool:
-        """Whether a message is from a newer start, or newer in the same one.
+        """Returns whether a message is newer than those received so far.
 
-        Relayed messages may be overtaken by direct ones and are compared with
-        each other only.
+        A newer incarnation takes precedence over the sequence number. Direct
+        messages may overtake relayed ones, so sequence numbers are compared
+        separately for each.
         """
-        known = self.last_message.incarnation
-        if message.incarnation != known:
-            return message.incarnation > known
+        last_incarnation = self.last_message.incarnation
+        if message.incarnation != last_incarnation:
+            return message.incarnation > last_incarnation
         return message.sequence > self.last_sequences.get(message.relayed, 0)
 
     def record_message(self, message: Gossip, interval_s: float) -> None:
-        """Takes over a message.
+        """Records a received message.
 
         Args:
             message: The message.
-            interval_s: Time until the next heartbeat, in seconds.
+            interval_s: Heartbeat interval of the sender, in seconds.
         """
         if message.incarnation != self.last_message.incarnation:
             self.last_sequences.clear()
         self.last_sequences[message.relayed] = message.sequence
         self.last_message = message
-        self.heard_at = monotonic_s()
+        self.last_received_at = monotonic_s()
         self.liveness_timeout_s = LIVENESS_TIMEOUT_HEARTBEATS * interval_s
 
 
@@ -95,8 +107,9 @@
     """Returns the time between two heartbeats, in seconds.
 
     Args:
-        peers: How many other daemons there are.
-        leading: Peers rely on the sender.
+        peers: Number of heartbeat receivers.
+        leading: Whether the sender reads the store for its peers or is a
+            relay.
     """
     interval_s = max(
         MIN_HEARTBEAT_INTERVAL_S, peers * HEARTBEAT_INTERVAL_PER_PEER_S
--- a/src/auburnswitch/members/hash_ring.py
+++ b/src/auburnswitch/members/hash_ring.py
@@ -21,30 +21,30 @@
 
 
 class HashRing:
-    """Finds the owner of a name in a time that hardly grows with members.
+    """Finds the owner of a name in time logarithmic in the members.
 
     Attributes:
-        members: The members.
+        members: Names of the members.
     """
 
     __slots__ = ("_owners", "_points", "members")
 
     def __init__(self, *, members: Iterable[str]) -> None:
         self.members = frozenset(members)
-        placed = sorted(
+        virtual_nodes = sorted(
             (_point(f"{member}\0{number}"), member)
             for member in self.members
             for number in range(VIRTUAL_NODES_PER_MEMBER)
         )
-        self._points = [point for point, _ in placed]
-        self._owners = [member for _, member in placed]
+        self._points = [point for point, _ in virtual_nodes]
+        self._owners = [member for _, member in virtual_nodes]
 
     def owner(self, name: str) -> str:
-        """Returns the member that owns a name, empty if there is none."""
+        """Returns the member that owns a name, empty without members."""
         if not self._points:
             return ""
-        place = bisect.bisect(self._points, _point(name))
-        return self._owners[place % len(self._owners)]
+        index = bisect.bisect(self._points, _point(name))
+        return self._owners[index % len(self._owners)]
 
 
 __all__ = ["HashRing"]
--- a/src/auburnswitch/members/isolation.py
+++ b/src/auburnswitch/members/isolation.py
@@ -1,4 +1,4 @@
-"""Decides whether this daemon may still trust its configuration."""
+"""Decides whether this daemon's configuration may be outdated."""
 
 from __future__ import annotations
 
@@ -23,21 +23,24 @@
 
 
 class IsolationDetector:
-    """Tells whether the configuration may have moved on unseen.
+    """Detects that the configuration may have changed without being read.
 
-    It can't have if someone in this group has just read the store, or if the
-    group is a majority: then the store is out for all, and takes no ticket.
-    The majority is one of the quorum set, which starts as the roster. While
-    the store is out the roster can't change, so a group with a majority of
-    the quorum set takes daemons that come into it and drops those that have
-    left or gone silent; a group without a majority leaves it as it is.
+    This daemon's group is the set of daemons that exchange messages with it.
+    The configuration is current if a member of the group has read the store
+    recently, or if the group is a majority: then the store is unavailable to
+    all daemons and accepts no ticket. The majority is one of the quorum set,
+    which starts as the roster. While the store is unavailable the roster can't
+    change, so a group with a majority of the quorum set adds joining daemons
+    to the set and removes those that have left or become silent; a group
+    without a majority leaves the set unchanged.
 
     Attributes:
-        view: What is known of the members.
-        get_store_read_at: Tells when this daemon last read the store's
+        view: Liveness of the members.
+        get_store_read_at: Returns when this daemon last read the store's
             configuration, in seconds of loop time.
-        quorum_ids: The quorum set.
-        isolated: New work was refused at the last update.
+        quorum_ids: Member ids of the quorum set.
+        roster_ids: Member ids of the newest roster.
+        isolated: Whether new work was refused at the last update.
     """
 
     __slots__ = (
@@ -59,59 +62,73 @@
         view.roster_listeners.append(self.on_roster_change)
 
     def is_isolated(self) -> bool:
-        """Tells whether new work must be refused now."""
+        """Returns whether new work must be refused now."""
         if self.has_majority():
             return False
         limit_s = self.view.settings.isolated_after_s
         return self.group_store_read_age_s() >= limit_s
 
     def has_majority(self, within_s: float | None = None) -> bool:
-        """Tells whether a majority of the quorum set was heard lately.
+        """Returns whether a majority of the quorum set is reachable.
 
-        A daemon that hears no peer has none, even if it is alone in the set,
-        since it can't tell an outage from a cut of its own.
+        A daemon that reaches no peer has no majority, even if it is the only
+        member of the set, since it can't distinguish an outage of the store
+        from its own network partition.
 
         Args:
-            within_s: How lately, in seconds; the isolation time if None.
+            within_s: Maximum time since a member's last message, in seconds;
+                the isolation time if None.
         """
         if within_s is None:
             within_s = self.view.settings.isolated_after_s
-        heard = self.view.heard_ids(within_s)
-        near = self.quorum_ids & (heard | {self.view.local_member.id})
-        return bool(heard) and is_majority(near, self.quorum_ids)
+        reachable = self.view.reachable_ids(within_s)
+        reachable_quorum = self.quorum_ids & (
+            reachable | {self.view.local_member.id}
+        )
+        return bool(reachable) and is_majority(
+            reachable_quorum, self.quorum_ids
+        )
 
     def own_store_read_age_s(self) -> float:
-        """Returns the time since this daemon read the store."""
+        """Returns the time since this daemon read the store, in seconds."""
         return monotonic_s() - self.get_store_read_at()
 
     def group_store_read_age_s(self) -> float:
-        """Returns the time since anyone in this group read the store."""
-        heard = self.view.heard_ids(self.view.settings.isolated_after_s)
-        reads = [self.view.peers[peer_id].store_read_at for peer_id in heard]
-        return monotonic_s() - max(self.get_store_read_at(), *reads, NEVER)
+        """Returns the time since the group's last store read, in seconds."""
+        reachable = self.view.reachable_ids(self.view.settings.isolated_after_s)
+        peer_read_times = [
+            self.view.peers[peer_id].store_read_at for peer_id in reachable
+        ]
+        return monotonic_s() - max(
+            self.get_store_read_at(), *peer_read_times, NEVER
+        )
 
     def on_roster_change(self, roster: Roster) -> None:
-        """Applies what a newer roster changes to the quorum set."""
+        """Applies the changes of a newer roster to the quorum set."""
         members = frozenset(member.id for member in roster.members)
         kept = self.quorum_ids - (self.roster_ids - members)
         self.quorum_ids = kept | (members - self.roster_ids)
         self.roster_ids = members
 
     def fill_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Adds the quorum set, if it is not the roster."""
+        """Adds the quorum set if it differs from the roster.
+
+        Only a daemon with a majority publishes its quorum set.
+        """
         if self.quorum_ids != self.roster_ids and self.has_majority():
             heartbeat.quorum_ids = sorted(self.quorum_ids)
 
     def adopt_quorum_ids(self, heartbeat: Heartbeat) -> None:
-        """Takes the quorum set of a group that has a majority."""
+        """Adopts a quorum set published by a group with a majority."""
         if heartbeat.quorum_ids and not self.has_majority():
             self.quorum_ids = frozenset(heartbeat.quorum_ids)
 
     def needs_store_read(self) -> bool:
-        """Tells whether this daemon should read the store now.
+        """Returns whether this daemon should read the store now.
 
-        Without a majority, one member of the group reads it each second, and
-        the next one if that does not help.
+        Without a majority, the first live member in id order reads it each
+        second; later members read it after a longer delay if that read has
+        not succeeded.
         """
         if self.has_majority(self.view.settings.suspect_after_s):
             return False
@@ -121,36 +138,36 @@
         )
 
     async def run(self, refresh: Callable[[], Awaitable[None]]) -> None:
-        """Reads the store for ever whenever that is needed."""
+        """Reads the store whenever needed, until cancelled."""
         while True:
             if self.needs_store_read():
                 await refresh()
             await asyncio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
     def update(self) -> None:
-        """Follows the daemons that come and go; logs changes."""
+        """Updates the quorum set and logs changes of isolation."""
         if self.has_majority():
-            self._follow()
-        awake_s = monotonic_s() - self.view.last_resumed_at
+            self._update_quorum_ids()
+        running_s = monotonic_s() - self.view.last_resumed_at
         isolated = self.is_isolated()
-        if isolated and awake_s < self.view.settings.isolated_after_s:
-            return  # it may just not have heard anyone yet
+        if isolated and running_s < self.view.settings.isolated_after_s:
+            return  # peers' messages may not have arrived yet
         if isolated != self.isolated:
             self.isolated = isolated
             event = EventId.ISOLATED if isolated else EventId.ISOLATION_ENDED
             log_event(event, live=self.view.live_ids())
 
-    def _follow(self) -> None:
+    def _update_quorum_ids(self) -> None:
         view = self.view
-        gone_s = view.settings.remove_after_s
-        gone = {
+        remove_after_s = view.settings.remove_after_s
+        departed = {
             member_id
             for member_id in self.quorum_ids - {view.local_member.id}
             if member_id not in view.peers
             or view.peers[member_id].leaving
-            or view.silence_s(member_id) >= gone_s
+            or view.silence_s(member_id) >= remove_after_s
         }
-        self.quorum_ids = (self.quorum_ids - gone) | set(view.live_ids())
+        self.quorum_ids = (self.quorum_ids - departed) | set(view.live_ids())
 
 
 __all__ = ["IsolationDetector"]
--- a/src/auburnswitch/members/member_view.py
+++ b/src/auburnswitch/members/member_view.py
@@ -1,4 +1,4 @@
-"""What one daemon knows of the others."""
+"""One daemon's view of the roster and of the liveness of its peers."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
     """The roster and the liveness of its members.
 
     Attributes:
-        local_member: This daemon.
-        roster: The agreed membership as last seen.
+        local_member: This daemon's identity and address.
+        settings: Timeouts of membership.
+        roster: Newest adopted roster.
         peers: Status of every known peer, by member id.
-        leaving: This daemon is stopping.
-        last_resumed_at: When this daemon started, or was last found to have
-            been paused, in seconds of loop time.
-        last_tick_at: Loop time of the last tick, in seconds.
+        leaving: Whether this daemon is stopping.
+        last_resumed_at: Loop time at which this daemon started, or last
+            detected that it had been paused, in seconds.
+        last_tick_at: Loop time of the last call of ``detect_pause``, in
+            seconds.
         roster_listeners: Called with each newer roster.
-        peer_listeners: Called when a peer appears or knows a newer epoch.
+        peer_listeners: Called when a peer is added or reports a newer epoch.
     """
 
     __slots__ = (
@@ -55,7 +57,7 @@
         self.peer_listeners: list[Callable[[], None]] = []
 
     def get_or_add_peer(self, member: Member) -> PeerStatus | None:
-        """Returns the status of a member, which may be new; None for self."""
+        """Returns a member's status, adding it if new; None for this daemon."""
         if member.id == self.local_member.id or not member.id:
             return None
         status = self.peers.get(member.id)
@@ -65,7 +67,7 @@
         return status
 
     def adopt_roster(self, roster: Roster) -> bool:
-        """Takes a newer roster; returns whether it was newer."""
+        """Adopts a roster if it is newer; returns whether it was."""
         if roster.epoch <= self.roster.epoch:
             return False
         self.roster = roster
@@ -76,14 +78,14 @@
         return True
 
     def notify_peer_change(self) -> None:
-        """Tells the listeners that a peer's status has changed."""
+        """Calls the listeners for a new peer or a peer with a newer epoch."""
         for listener in self.peer_listeners:
             listener()
 
     def detect_pause(self) -> None:
-        """Notices, called at each heartbeat, that the process was paused.
+        """Detects that this process was paused; called at each heartbeat.
 
-        Silence of peers during a pause of this daemon proves nothing.
+        Silence of peers during a pause of this daemon is no sign of failure.
         """
         now = monotonic_s()
         if now - self.last_tick_at > self.settings.suspect_after_s:
@@ -91,112 +93,131 @@
         self.last_tick_at = now
 
     def remove_departed_peers(self) -> None:
-        """Forgets peers that are not in the roster and have gone silent."""
+        """Removes silent peers that are not in the roster."""
         members = set(self.roster_ids())
-        gone = [
+        departed = [
             peer_id
             for peer_id in self.peers
             if peer_id not in members
             and self.silence_s(peer_id) >= self.settings.remove_after_s
         ]
-        for peer_id in gone:
+        for peer_id in departed:
             del self.peers[peer_id]
 
     def live_ids(self) -> list[str]:
-        """Returns the members heard lately that are not leaving, and self."""
+        """Returns the daemons, this one included, that are live.
+
+        A daemon is live if it is reachable within the suspicion timeout and
+        not leaving.
+        """
         oldest = monotonic_s() - self.settings.suspect_after_s
         live = [
             peer_id
             for peer_id, status in self.peers.items()
-            if status.heard_at >= oldest and not status.leaving
+            if status.last_received_at >= oldest and not status.leaving
         ]
         if not self.leaving:
             live.append(self.local_member.id)
         return sorted(live)
 
-    def heard_ids(self, within_s: float) -> set[str]:
-        """Returns the peers heard within a time, leaving ones included."""
+    def reachable_ids(self, within_s: float) -> set[str]:
+        """Returns the peers, also leaving ones, with a recent message.
+
+        Args:
+            within_s: Maximum time since the peer's last message, in seconds.
+        """
         oldest = monotonic_s() - within_s
         return {
             peer_id
             for peer_id, status in self.peers.items()
-            if status.heard_at >= oldest
+            if status.last_received_at >= oldest
         }
 
-    def heard_members(self) -> list[Member]:
-        """Returns the peers heard lately."""
-        heard = self.heard_ids(self.settings.suspect_after_s)
-        return [self.peers[peer_id].member for peer_id in sorted(heard)]
+    def reachable_members(self) -> list[Member]:
+        """Returns the peers with a message within the suspicion timeout."""
+        reachable = self.reachable_ids(self.settings.suspect_after_s)
+        return [self.peers[peer_id].member for peer_id in sorted(reachable)]
 
-    def hears_unknown_members(self, peer_id: str) -> bool:
-        """Tells whether a peer hears daemons that are not known here."""
+    def reports_unknown_members(self, peer_id: str) -> bool:
+        """Returns whether a peer reports live daemons unknown to this one."""
         status = self.peers.get(peer_id)
         if status is None:
             return False
         return bool(
-            status.heard_ids - self.peers.keys() - {self.local_member.id}
+            status.reported_live_ids
+            - self.peers.keys()
+            - {self.local_member.id}
         )
 
     def owner_of(self, endpoint: str) -> str:
-        """Returns the live member that owns an endpoint, for soft rights."""
+        """Returns the live member that owns an endpoint without a lease."""
         return rendezvous_owner(endpoint, self.live_ids())
 
     def roster_ids(self) -> list[str]:
-        """Returns the ids of the agreed members."""
+        """Returns the ids of the roster's members."""
         return [member.id for member in self.roster.members]
 
     def has_departed(self, member_id: str) -> bool:
-        """Tells whether a member has left the roster and is not heard."""
+        """Returns whether a member is neither in the roster nor live."""
         if not self.roster.epoch or member_id in self.roster_ids():
             return False
         return member_id not in self.live_ids()
 
     def silence_s(self, member_id: str) -> float:
-        """Returns for how long this daemon, awake, has not heard a peer."""
+        """Returns the time without a message from a peer, in seconds.
+
+        Time before this daemon was last resumed does not count. The result is
+        0 for an unknown peer.
+        """
         status = self.peers.get(member_id)
         if status is None:
             return 0.0
-        since = max(status.heard_at, status.first_seen_at, self.last_resumed_at)
-        return monotonic_s() - since
+        silent_since = max(
+            status.last_received_at, status.first_seen_at, self.last_resumed_at
+        )
+        return monotonic_s() - silent_since
 
-    def silent_ids(self) -> list[str]:
-        """Returns roster members that no live peer has heard for long."""
-        lately = self.heard_ids(self.settings.suspect_after_s)
-        heard = lately.union(*(self.peers[i].heard_ids for i in lately))
+    def unreachable_ids(self) -> list[str]:
+        """Returns silent roster members that no reachable peer reports live."""
+        reachable = self.reachable_ids(self.settings.suspect_after_s)
+        reported_live = reachable.union(
+            *(self.peers[i].reported_live_ids for i in reachable)
+        )
         return [
             member_id
             for member_id in self.roster_ids()
-            if member_id not in heard
+            if member_id not in reported_live
             and self.silence_s(member_id) >= self.settings.remove_after_s
         ]
 
-    def knows_epoch(self, member_id: str) -> bool:
-        """Tells whether a member is known to know the present epoch."""
+    def has_current_epoch(self, member_id: str) -> bool:
+        """Returns whether a member has reported the current epoch."""
         if member_id == self.local_member.id:
             return True
         status = self.peers.get(member_id)
-        return status is not None and status.known_epoch >= self.roster.epoch
+        return status is not None and status.roster_epoch >= self.roster.epoch
 
-    def majority_knows_epoch(self) -> bool:
-        """Tells whether a majority of the roster knows its epoch."""
+    def majority_has_current_epoch(self) -> bool:
+        """Returns whether a roster majority has the current epoch."""
         ids = self.roster_ids()
-        known = [i for i in ids if self.knows_epoch(i)]
-        return not ids or is_majority(known, ids)
+        current_ids = [i for i in ids if self.has_current_epoch(i)]
+        return not ids or is_majority(current_ids, ids)
 
-    def hears_majority(self) -> bool:
-        """Tells whether a majority of the roster was heard lately."""
-        heard = self.heard_ids(self.settings.suspect_after_s) | {
+    def reaches_majority(self) -> bool:
+        """Returns whether a majority of the roster is reachable."""
+        reachable = self.reachable_ids(self.settings.suspect_after_s) | {
             self.local_member.id
         }
         ids = self.roster_ids()
-        return is_majority([i for i in ids if i in heard], ids)
+        return is_majority([i for i in ids if i in reachable], ids)
 
     def quorum_acked_at(self) -> float:
         """Returns the time up to which a majority has acknowledged the epoch.
 
-        The result is the newest loop time t such that a majority of the
-        roster, this daemon included, has acknowledged a heartbeat sent at t
-        or later with the present epoch; minus infinity if there is none.
+        Returns:
+            The newest loop time t, in seconds, such that a majority of the
+            roster, this daemon included, has acknowledged a heartbeat sent at
+            t or later with the current epoch; minus infinity if there is none.
         """
         ids = self.roster_ids()
         if self.local_member.id not in ids:
@@ -207,7 +228,7 @@
         return times[len(ids) // 2]
 
     def has_quorum(self) -> bool:
-        """Tells whether a majority has acknowledged within the lease."""
+        """Returns whether a majority has acknowledged within the lease."""
         oldest = monotonic_s() - self.settings.strict_lease_s
         return self.quorum_acked_at() > oldest
 
@@ -221,7 +242,7 @@
 
 
 def is_majority(part: Collection[str], whole: Collection[str]) -> bool:
-    """Tells whether a part of a group is more than half of it."""
+    """Returns whether a part of a group is more than half of it."""
     return 2 * len(part) > len(whole)
 
 
--- a/src/auburnswitch/members/membership.py
+++ b/src/auburnswitch/members/membership.py
@@ -34,7 +34,7 @@
     from auburnswitch.schema.settings import Settings
 
 SEED_ID_PREFIX: Final = "seed:"
-MAX_REPORTED_AGE_S: Final = 1e9  # infinity is no time
+MAX_REPORTED_AGE_S: Final = 1e9  # replaces infinity before the first read
 HANDOVER_ATTEMPTS: Final = 5
 HANDOVER_RETRY_DELAY_S: Final = 0.2
 
@@ -43,15 +43,16 @@
     """Sends a heartbeat to every known peer and answers theirs.
 
     Attributes:
-        view: What is known of the peers.
-        ownership_leases: Strict rights of this daemon.
-        termination_detector: Proof that members have ended.
-        isolation: Whether new work must be refused.
-        links: Connection to each peer, by member id.
-        heartbeat_fillers: Called to fill a heartbeat for one peer.
+        view: Roster and liveness of the peers.
+        ownership_leases: Ownership leases of this daemon.
+        termination_detector: Proof that members have terminated.
+        isolation: Decides whether new work must be refused.
+        links: Link to each peer, by member id.
+        link_tasks: Tasks of each link, by member id.
+        heartbeat_fillers: Called to add fields to a heartbeat for one peer.
         heartbeat_listeners: Called with each heartbeat received.
-        handover_fillers: Called to fill a hand-over to a successor.
-        handover_listeners: Called with each hand-over received.
+        handover_fillers: Called to add fields to a handover to a successor.
+        handover_listeners: Called with each handover received.
     """
 
     __slots__ = (
@@ -100,16 +101,16 @@
         self.heartbeat_listeners: list[Callable[[Heartbeat], None]] = []
         self.handover_fillers: list[Callable[[HandoverRequest], None]] = []
         self.handover_listeners: list[Callable[[HandoverRequest], None]] = []
-        view.roster_listeners.append(self._note_roster)
+        view.roster_listeners.append(self._on_roster_change)
 
     def register(self, server: PeerServer) -> None:
-        """Registers the handlers of this service's messages."""
+        """Registers handlers of heartbeats, state requests and handovers."""
         server.handlers[Heartbeat] = self._on_heartbeat
         server.handlers[StateRequest] = self._on_state_request
         server.handlers[HandoverRequest] = self._on_handover
 
     async def run(self) -> None:
-        """Opens links to new peers and drops links to forgotten ones."""
+        """Opens links to new peers and closes links to removed ones."""
         self._open_seed_links()
         while True:
             self.view.detect_pause()
@@ -119,18 +120,18 @@
             await asyncio.sleep(self.settings.members.heartbeat_interval_s)
 
     def is_isolated(self) -> bool:
-        """Tells whether the configuration may have moved on unseen."""
+        """Returns whether this daemon must refuse new work as isolated."""
         return self.isolation.is_isolated()
 
     async def hand_over_leases(self) -> None:
-        """Gives up all strict rights and tells the successors."""
+        """Releases all ownership leases and sends handovers to successors."""
         requests = self.ownership_leases.release_all(self.state.endpoints)
         await self._send_handovers(requests)
 
-    def _note_roster(self, _: Roster) -> None:
+    def _on_roster_change(self, _: Roster) -> None:
         self._update_links()
         for link in self.links.values():
-            # peers wait for this daemon to know it
+            # peers wait for this daemon to report the new epoch
             link.heartbeat_requested.set()
         requests = self.ownership_leases.release_lost(self.state.endpoints)
         if requests:
@@ -140,22 +141,24 @@
         self, requests: dict[str, HandoverRequest]
     ) -> None:
         for request in requests.values():
-            for source in self.handover_fillers:
-                source(request)
+            for fill in self.handover_fillers:
+                fill(request)
         calls = [
-            self._tell(self.links[member_id], request)
+            self._send_handover(self.links[member_id], request)
             for member_id, request in requests.items()
             if member_id in self.links
         ]
         await asyncio.gather(*calls)
 
-    async def _tell(self, link: PeerLink, request: HandoverRequest) -> None:
+    async def _send_handover(
+        self, link: PeerLink, request: HandoverRequest
+    ) -> None:
         for _ in range(HANDOVER_ATTEMPTS):
             if await link.try_call(request) is not None:
                 return
             await asyncio.sleep(
                 HANDOVER_RETRY_DELAY_S
-            )  # a new link is connecting
+            )  # a new link may still be connecting
 
     def _open_seed_links(self) -> None:
         for address in self.settings.members.seeds.split(","):
@@ -171,8 +174,8 @@
         for peer_id, status in list(self.view.peers.items()):
             if peer_id not in self.links:
                 self._open_link(status.member)
-        known = self.view.peers.keys()
-        for peer_id in self.links.keys() - known:
+        known_ids = self.view.peers.keys()
+        for peer_id in self.links.keys() - known_ids:
             if not peer_id.startswith(SEED_ID_PREFIX):
                 self._close_link(peer_id)
 
@@ -198,14 +201,16 @@
 
     async def _send_heartbeats(self, link: PeerLink) -> None:
         while True:
-            if link.connection is not None and not self._is_spare(link):
+            if link.connection is not None and not self._is_redundant_seed_link(
+                link
+            ):
                 await self._send_heartbeat(link)
             await link.wait_for_heartbeat(
                 self.settings.members.heartbeat_interval_s
             )
 
-    def _is_spare(self, link: PeerLink) -> bool:
-        """Tells whether a seed link's daemon has a link of its own by now."""
+    def _is_redundant_seed_link(self, link: PeerLink) -> bool:
+        """Returns whether another link connects to a seed link's daemon."""
         seed = link.member
         return seed.id.startswith(SEED_ID_PREFIX) and any(
             other.connection is not None
@@ -216,14 +221,14 @@
         )
 
     async def _send_heartbeat(self, link: PeerLink) -> None:
-        heartbeat = self._heartbeat(link.member.id)
+        heartbeat = self._new_heartbeat(link.member.id)
         sent_at = heartbeat.sent_at
         ack = await link.try_call(heartbeat)
         if isinstance(ack, HeartbeatAck):
-            self._note_ack(ack, sent_at)
+            self._record_ack(ack, sent_at)
             await self._fetch_state(link, ack.epoch, ack.state_digest)
 
-    def _heartbeat(self, peer_id: str) -> Heartbeat:
+    def _new_heartbeat(self, peer_id: str) -> Heartbeat:
         heartbeat = Heartbeat(
             sender=self.view.local_member,
             epoch=self.view.roster.epoch,
@@ -237,27 +242,27 @@
             former_ids=self.termination_detector.own_former_ids(),
         )
         self.isolation.fill_heartbeat(heartbeat)
-        for source in self.heartbeat_fillers:
-            source(heartbeat, peer_id)
+        for fill in self.heartbeat_fillers:
+            fill(heartbeat, peer_id)
         return heartbeat
 
-    def _note_ack(self, ack: HeartbeatAck, sent_at: float) -> None:
+    def _record_ack(self, ack: HeartbeatAck, sent_at: float) -> None:
         status = self.view.peers.get(ack.member_id)
         if status is None:
             return
-        known_epoch = status.known_epoch
+        previous_epoch = status.roster_epoch
         status.record_ack(ack, sent_at)
         self.ownership_leases.update_first_majority()
-        if status.known_epoch > known_epoch:
+        if status.roster_epoch > previous_epoch:
             self.view.notify_peer_change()
 
     async def _fetch_state(
         self, link: PeerLink, epoch: int, digest: str
     ) -> None:
-        current = (
+        up_to_date = (
             digest == self.state.digest and epoch <= self.view.roster.epoch
         )
-        if current and not self.view.hears_unknown_members(link.member.id):
+        if up_to_date and not self.view.reports_unknown_members(link.member.id):
             return
         request = StateRequest(state_digest=self.state.digest)
         reply = await link.try_call(request)
@@ -271,14 +276,17 @@
 
     async def _on_heartbeat(self, heartbeat: Any, peer_id: str) -> HeartbeatAck:
         if heartbeat.sender is None or heartbeat.sender.id != peer_id:
-            raise FrameError(ResultCode.BAD_FRAME, "not the sender's own")
+            raise FrameError(
+                ResultCode.BAD_FRAME,
+                "heartbeat sender is not the connected peer",
+            )
         status = self.view.get_or_add_peer(heartbeat.sender)
         if status is not None:
-            known_epoch = status.known_epoch
+            previous_epoch = status.roster_epoch
             status.record_heartbeat(heartbeat)
             self.termination_detector.record_former_ids(heartbeat.former_ids)
             self.isolation.adopt_quorum_ids(heartbeat)
-            if status.known_epoch > known_epoch:
+            if status.roster_epoch > previous_epoch:
                 self.view.notify_peer_change()
         for listener in self.heartbeat_listeners:
             listener(heartbeat)
--- a/src/auburnswitch/members/message_validation.py
+++ b/src/auburnswitch/members/message_validation.py
@@ -1,8 +1,8 @@
-"""Checks that an encoded message holds as many items as it claims.
+"""Checks that an encoded message is as long as its item counts require.
 
-The decoder reads a list of a type that takes no bytes as often as the list
-says, which a message of a few bytes can make two billion times. So the
-message is walked through first, by its own account of its types.
+For a list of a type that takes no bytes, the decoder loops as often as the
+list's count states; a message of a few bytes can make this two billion times.
+So the message is first traversed by its encoded types and counts.
 """
 
 from __future__ import annotations
@@ -32,75 +32,86 @@
 
 
 class MalformedMessageError(ValueError):
-    """A message is cut short, or claims what it does not hold."""
+    """A message is truncated, too deep, or has a wrong type or size."""
 
 
 def validate_message(data: bytes) -> None:
     """Checks a struct in thrift's binary protocol.
 
     Raises:
-        MalformedMessageError: It is not a whole struct of known types.
+        MalformedMessageError: The data is not a complete struct of known
+            types.
     """
     try:
         _skip_struct(data, 0, MAX_NESTING_DEPTH)
     except (IndexError, struct.error) as error:
-        raise MalformedMessageError("the message is cut short") from error
+        raise MalformedMessageError("message is truncated") from error
 
 
-def _skip_struct(data: bytes, at: int, depth: int) -> int:
+def _skip_struct(data: bytes, offset: int, depth: int) -> int:
     """Returns the offset after a struct."""
     if depth == 0:
-        raise MalformedMessageError("the message is nested too deep")
-    while kind := data[at]:  # zero ends the struct
-        if kind in _FIXED_BYTES:  # most fields are, so without a call
-            at += _FIELD_HEAD_BYTES + _FIXED_BYTES[kind]
+        raise MalformedMessageError("message is nested too deep")
+    while type_code := data[offset]:  # zero ends the struct
+        if type_code in _FIXED_BYTES:  # most fields: skipped without a call
+            offset += _FIELD_HEAD_BYTES + _FIXED_BYTES[type_code]
         else:
-            at = _skip_value(data, at + _FIELD_HEAD_BYTES, kind, depth)
-    return at + 1
+            offset = _skip_value(
+                data, offset + _FIELD_HEAD_BYTES, type_code, depth
+            )
+    return offset + 1
 
 
-def _skip_value(data: bytes, at: int, kind: int, depth: int) -> int:
+def _skip_value(data: bytes, offset: int, type_code: int, depth: int) -> int:
     """Returns the offset after a value, which may lie beyond the end."""
-    if kind == _STRING:
-        (size,) = _LENGTH.unpack_from(data, at)
-        return at + _LENGTH.size + _count(size)
-    if kind == _STRUCT:
-        return _skip_struct(data, at, depth - 1)
-    if kind in _LISTS:
-        item, size = _LIST_HEAD.unpack_from(data, at)
-        at += _LIST_HEAD.size
-        return _skip_items(data, at, (item,), _count(size), depth - 1)
-    if kind == _MAP:
-        key, value, size = _MAP_HEAD.unpack_from(data, at)
-        at += _MAP_HEAD.size
-        return _skip_items(data, at, (key, value), _count(size), depth - 1)
-    if fixed := _FIXED_BYTES.get(kind):
-        return at + fixed
-    raise MalformedMessageError(f"unknown type {kind}")
+    if type_code == _STRING:
+        (size,) = _LENGTH.unpack_from(data, offset)
+        return offset + _LENGTH.size + _check_size(size)
+    if type_code == _STRUCT:
+        return _skip_struct(data, offset, depth - 1)
+    if type_code in _LISTS:
+        item_type, size = _LIST_HEAD.unpack_from(data, offset)
+        offset += _LIST_HEAD.size
+        return _skip_items(
+            data, offset, (item_type,), _check_size(size), depth - 1
+        )
+    if type_code == _MAP:
+        key_type, value_type, size = _MAP_HEAD.unpack_from(data, offset)
+        offset += _MAP_HEAD.size
+        return _skip_items(
+            data, offset, (key_type, value_type), _check_size(size), depth - 1
+        )
+    if fixed_size := _FIXED_BYTES.get(type_code):
+        return offset + fixed_size
+    raise MalformedMessageError(f"unknown thrift type {type_code}")
 
 
 def _skip_items(
-    data: bytes, at: int, kinds: tuple[int, ...], count: int, depth: int
+    data: bytes,
+    offset: int,
+    item_types: tuple[int, ...],
+    count: int,
+    depth: int,
 ) -> int:
     """Returns the offset after the items of a list, a set or a map."""
     if depth == 0:
-        raise MalformedMessageError("the message is nested too deep")
+        raise MalformedMessageError("message is nested too deep")
     if count == 0:
-        return at
-    sizes = [_FIXED_BYTES.get(kind) for kind in kinds]
+        return offset
+    sizes = [_FIXED_BYTES.get(type_code) for type_code in item_types]
     if None not in sizes:
-        return at + count * sum(sizes)
-    if count > len(data) - at:  # each item takes a byte at least
-        raise MalformedMessageError("the message is cut short")
+        return offset + count * sum(sizes)
+    if count > len(data) - offset:  # each item takes at least a byte
+        raise MalformedMessageError("message is truncated")
     for _ in range(count):
-        for kind in kinds:
-            at = _skip_value(data, at, kind, depth)
-    return at
+        for type_code in item_types:
+            offset = _skip_value(data, offset, type_code, depth)
+    return offset
 
 
-def _count(size: int) -> int:
+def _check_size(size: int) -> int:
     if size < 0:
-        raise MalformedMessageError("a size is negative")
+        raise MalformedMessageError("size is negative")
     return size
 
 
--- a/src/auburnswitch/members/ownership_leases.py
+++ b/src/auburnswitch/members/ownership_leases.py
@@ -1,8 +1,8 @@
-"""Decides whether this daemon holds the strict rights of an owner.
+"""Decides whether this daemon holds the ownership lease of an endpoint.
 
-Strict rights allow work on a cold or unknown endpoint and orders to an engine.
-At most one daemon holds them for an endpoint at any time; docs/MEMBERSHIP.md
-has the argument.
+The lease allows work on a cold or unknown endpoint and orders to an engine. At
+most one daemon holds an endpoint's lease at any time; docs/MEMBERSHIP.md has
+the proof.
 """
 
 from __future__ import annotations
@@ -25,7 +25,12 @@
 
 
 class _Handover:
-    """A predecessor's word that it makes no more strict use."""
+    """A predecessor's declaration that it no longer uses its lease.
+
+    Attributes:
+        epoch: Epoch in which the predecessor owned the endpoint.
+        received_at: Loop time at which it was received, in seconds.
+    """
 
     __slots__ = ("epoch", "received_at")
 
@@ -35,14 +40,18 @@
 
 
 class OwnershipLeases:
-    """Tracks majorities, tenures and hand-overs of one daemon.
+    """Tracks the ownership leases of one daemon.
+
+    An ownership period is a series of consecutive epochs in which an endpoint
+    has the same owner.
 
     Attributes:
-        view: What is known of the members.
-        history: The rosters learned so far.
+        view: Roster and liveness of the members.
+        history: The rosters received so far.
         first_majority_at: Loop time of the first majority at each epoch, in
             seconds.
-        relinquished: Endpoints that this daemon has handed over for good.
+        relinquished: Endpoints that this daemon has permanently handed over.
+        handovers: Handovers received, by endpoint and predecessor.
     """
 
     __slots__ = (
@@ -66,33 +75,34 @@
         return self.history.owner_of(endpoint, self.history.epoch)
 
     def is_owner(self, endpoint: str) -> bool:
-        """Tells whether this daemon owns an endpoint by the roster."""
+        """Returns whether this daemon owns an endpoint by the roster."""
         return self.owner_of(endpoint) == self.view.local_member.id
 
     def holds_lease(self, endpoint: str) -> bool:
-        """Tells whether this daemon may make a strict use now.
+        """Returns whether this daemon holds an endpoint's lease now.
 
-        The answer holds for this moment only: ask before each use, and use it
-        before the next ``await``.
+        The result is valid only until the next ``await``: check the lease
+        before each use.
         """
         return self.lease_wait_s(endpoint) <= 0
 
     def lease_wait_s(self, endpoint: str) -> float:
-        """Returns the time until strict rights may begin, in seconds.
+        """Returns the time until this daemon's lease starts, in seconds.
 
         Returns:
-            0 if this daemon holds them now; infinity if it is not the owner
-            or no majority has acknowledged the epoch lately.
+            0 if this daemon holds the lease now; infinity if it is not the
+            owner or no majority has acknowledged the epoch within the lease
+            time.
         """
         if not self.is_owner(endpoint) or endpoint in self.relinquished:
             return math.inf
         if not self.view.has_quorum():
             return math.inf
-        begins_at = self._begins_at(endpoint, self.history.epoch)
-        return max(0.0, begins_at - monotonic_s())
+        lease_start_at = self._lease_start_at(endpoint, self.history.epoch)
+        return max(0.0, lease_start_at - monotonic_s())
 
     def on_roster_change(self, roster: Roster) -> None:
-        """Takes a newer roster."""
+        """Applies a newer roster."""
         self.history.append(roster)
         for epoch in (
             self.first_majority_at.keys() - self.history.member_ids.keys()
@@ -102,7 +112,7 @@
         self.update_first_majority()
 
     def update_first_majority(self) -> None:
-        """Notes the first majority at the present epoch once it is there."""
+        """Records the time of the first majority at the current epoch."""
         epoch = self.history.epoch
         if epoch in self.first_majority_at or not epoch:
             return
@@ -110,16 +120,17 @@
             self.first_majority_at[epoch] = monotonic_s()
 
     def _drop_handovers(self) -> None:
-        """Forgets hand-overs of epochs that are no longer remembered."""
-        known = self.history.member_ids
+        """Removes handovers of past epochs that the history lacks."""
+        retained_epochs = self.history.member_ids
         self.handovers = {
             key: handover
             for key, handover in self.handovers.items()
-            if handover.epoch in known or handover.epoch > self.history.epoch
+            if handover.epoch in retained_epochs
+            or handover.epoch > self.history.epoch
         }
 
     def record_handover(self, request: HandoverRequest) -> None:
-        """Takes a predecessor's word that it makes no more strict use."""
+        """Records that a predecessor no longer uses its leases."""
         handover = _Handover(epoch=request.epoch, received_at=monotonic_s())
         for endpoint in request.endpoints:
             self.handovers[endpoint, request.member_id] = handover
@@ -127,10 +138,10 @@
     def release_all(
         self, endpoints: Iterable[str]
     ) -> dict[str, HandoverRequest]:
-        """Gives up strict rights for good and says to whom.
+        """Permanently releases all leases; returns the handovers.
 
-        Call it when this daemon leaves. The rights end with the call, so the
-        messages may be sent at any later time.
+        Call it when this daemon leaves. The leases end with the call, so the
+        handovers may be sent at any later time.
 
         Args:
             endpoints: Names of all configured endpoints.
@@ -140,11 +151,11 @@
         """
         epoch = self.history.epoch
         owned = [name for name in endpoints if self.is_owner(name)]
-        heirs = [
+        successors = [
             i for i in self.view.roster_ids() if i != self.view.local_member.id
         ]
-        requests = self._requests(
-            {name: rendezvous_owner(name, heirs) for name in owned}, epoch
+        requests = self._handover_requests(
+            {name: rendezvous_owner(name, successors) for name in owned}, epoch
         )
         self.relinquished.update(owned)
         return requests
@@ -152,9 +163,9 @@
     def release_lost(
         self, endpoints: Iterable[str]
     ) -> dict[str, HandoverRequest]:
-        """Says to whom strict rights went with the newest roster.
+        """Returns handovers of the leases lost with the newest roster.
 
-        Call it after each newer roster. This daemon makes no more strict use
+        Call it after each newer roster. This daemon no longer uses the leases
         of these endpoints because it no longer owns them.
 
         Args:
@@ -163,27 +174,30 @@
         Returns:
             The message for each successor, by member id.
         """
-        before = self.history.epoch - 1
-        me = self.view.local_member.id
-        lost = {
+        previous_epoch = self.history.epoch - 1
+        local_id = self.view.local_member.id
+        new_owners = {
             name: self.owner_of(name)
             for name in endpoints
-            if self.history.owner_of(name, before) == me
+            if self.history.owner_of(name, previous_epoch) == local_id
             and not self.is_owner(name)
         }
-        return self._requests(lost, before)
+        return self._handover_requests(new_owners, previous_epoch)
 
-    def _requests(
-        self, heirs: dict[str, str], epoch: int
+    def _handover_requests(
+        self, successors: dict[str, str], epoch: int
     ) -> dict[str, HandoverRequest]:
-        """Returns messages on the endpoints whose former owners are out."""
+        """Returns the handovers of leases that have started.
+
+        The grants of earlier owners of these endpoints have expired.
+        """
         now = monotonic_s()
         requests: dict[str, HandoverRequest] = {}
-        for endpoint, heir in heirs.items():
-            if not heir or self._begins_at(endpoint, epoch) > now:
+        for endpoint, successor in successors.items():
+            if not successor or self._lease_start_at(endpoint, epoch) > now:
                 continue
             request = requests.setdefault(
-                heir,
+                successor,
                 HandoverRequest(
                     member_id=self.view.local_member.id, epoch=epoch
                 ),
@@ -191,32 +205,39 @@
             request.endpoints.append(endpoint)
         return requests
 
-    def _begins_at(self, endpoint: str, epoch: int) -> float:
-        """Returns when the tenure that includes an epoch may first be used."""
+    def _lease_start_at(self, endpoint: str, epoch: int) -> float:
+        """Returns the loop time at which an ownership period's lease starts.
+
+        Args:
+            endpoint: Name of the endpoint.
+            epoch: An epoch of the ownership period.
+        """
         start = self.history.ownership_start_epoch(endpoint, epoch)
         if start == FIRST_EPOCH:
-            return -math.inf  # there was no owner before
+            return -math.inf  # there was no earlier owner
         first_majority_at = min(
             (
                 at
-                for e, at in self.first_majority_at.items()
-                if start <= e <= epoch
+                for earlier_epoch, at in self.first_majority_at.items()
+                if start <= earlier_epoch <= epoch
             ),
             default=math.inf,
         )
         ttl_s = self.view.settings.reservation_ttl_s
         return min(
             first_majority_at + self.view.settings.strict_lease_s + ttl_s,
-            self._handed_over_at(endpoint, start) + ttl_s,
+            self._handover_received_at(endpoint, start) + ttl_s,
         )
 
-    def _handed_over_at(self, endpoint: str, start: int) -> float:
+    def _handover_received_at(self, endpoint: str, start: int) -> float:
         predecessor = self.history.owner_of(endpoint, start - 1)
         handover = self.handovers.get((endpoint, predecessor))
         if not predecessor or handover is None:
             return math.inf
-        since = self.history.ownership_start_epoch(endpoint, start - 1)
-        if not since <= handover.epoch < start:
+        predecessor_start = self.history.ownership_start_epoch(
+            endpoint, start - 1
+        )
+        if not predecessor_start <= handover.epoch < start:
             return math.inf
         return handover.received_at
 
--- a/src/auburnswitch/members/peer_connection.py
+++ b/src/auburnswitch/members/peer_connection.py
@@ -39,9 +39,9 @@
     """Sends and receives messages on an open connection.
 
     Attributes:
-        peer_id: Member at the other end.
+        peer_id: Member id of the peer.
         pending_calls: Calls that wait for a reply, by call id.
-        max_unsent_bytes: Unsent bytes above which the connection is dropped.
+        max_unsent_bytes: Unsent bytes above which the connection is aborted.
     """
 
     __slots__ = (
@@ -75,46 +75,48 @@
         self.next_call_id = 1
 
     async def receive(self) -> Envelope:
-        """Returns the next message that is not a reply to a pending call."""
+        """Returns the next call or message; passes replies to their calls."""
         while True:
             envelope = await self.frame_reader.read(self.reader)
             if not envelope.is_reply:
                 return envelope
-            waiter = self.pending_calls.pop(envelope.call_id, None)
-            if waiter is not None and not waiter.done():
-                waiter.set_result(unwrap_message(envelope))
+            reply_future = self.pending_calls.pop(envelope.call_id, None)
+            if reply_future is not None and not reply_future.done():
+                reply_future.set_result(unwrap_message(envelope))
 
     def send(self, envelope: Envelope) -> None:
         """Sends a message without waiting for the peer.
 
         Raises:
-            ConnectionError: The connection ended, or ends now because the
-                peer does not read.
+            ConnectionError: The connection is closed, or is aborted now
+                because the peer does not read.
         """
         transport = self.writer.transport
         if transport.is_closing():
-            raise ConnectionResetError("connection ended")
+            raise ConnectionResetError("connection is closed")
         if transport.get_write_buffer_size() > self.max_unsent_bytes:
             log_event(EventId.PEER_STALLED, peer=self.peer_id)
             self.abort()
-            raise ConnectionResetError("the peer does not read")
+            raise ConnectionResetError("peer does not read; connection aborted")
         self.writer.write(self.frame_writer.encode(envelope))
 
     async def call(self, body: Struct, timeout_s: float) -> Struct:
         """Sends a message and returns the reply.
 
         Raises:
-            TimeoutError: No reply came in time.
-            ConnectionError: The connection ended.
+            TimeoutError: No reply arrived within the timeout.
+            ConnectionError: The connection was closed.
         """
         call_id = self.next_call_id
         self.next_call_id += 1
-        waiter: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self.pending_calls[call_id] = waiter
+        reply_future: asyncio.Future[Any] = (
+            asyncio.get_running_loop().create_future()
+        )
+        self.pending_calls[call_id] = reply_future
         try:
             self.send(wrap_message(body, call_id=call_id))
             async with asyncio.timeout(timeout_s):
-                return await waiter
+                return await reply_future
         finally:
             self.pending_calls.pop(call_id, None)
 
@@ -123,15 +125,17 @@
         self.send(wrap_message(body, call_id=envelope.call_id, is_reply=True))
 
     def close(self) -> None:
-        """Ends the connection and fails the pending calls."""
-        for waiter in self.pending_calls.values():
-            if not waiter.done():
-                waiter.set_exception(ConnectionResetError("connection ended"))
+        """Closes the connection and fails the pending calls."""
+        for reply_future in self.pending_calls.values():
+            if not reply_future.done():
+                reply_future.set_exception(
+                    ConnectionResetError("connection is closed")
+                )
         self.pending_calls.clear()
         self.writer.close()
 
     def abort(self) -> None:
-        """Ends the connection without sending what is still unsent."""
+        """Closes the connection and discards unsent bytes."""
         self.close()
         self.writer.transport.abort()
 
@@ -146,18 +150,19 @@
     settings: PeersSettings,
     dial: Dialer = asyncio.open_connection,
 ) -> AsyncIterator[PeerConnection]:
-    """Opens a connection to a peer and closes it at the end.
+    """Opens a connection to a peer and closes it when the context ends.
 
     Raises:
-        OSError: The peer cannot be reached.
-        FrameError: The peer does not know the shared key.
+        OSError: The peer cannot be reached, or not within the timeout.
+        FrameError: The peer's handshake is rejected, for instance because it
+            has another shared key.
     """
     async with asyncio.timeout(settings.call_timeout_s):
         reader, writer = await dial(host, port)
     connection: PeerConnection | None = None
     try:
         async with asyncio.timeout(settings.call_timeout_s):
-            connection = await _shake_hands(
+            connection = await _perform_handshake(
                 reader,
                 writer,
                 member_id=member_id,
@@ -183,11 +188,12 @@
     """Completes the handshake of an accepted connection.
 
     Raises:
-        FrameError: The peer does not know the shared key.
-        TimeoutError: The peer did not finish in time.
+        FrameError: The peer's handshake is rejected, for instance because it
+            has another shared key.
+        TimeoutError: The handshake took too long.
     """
     async with asyncio.timeout(settings.call_timeout_s):
-        return await _shake_hands(
+        return await _perform_handshake(
             reader,
             writer,
             member_id=member_id,
@@ -197,7 +203,7 @@
         )
 
 
-async def _shake_hands(
+async def _perform_handshake(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     *,
@@ -206,18 +212,23 @@
     settings: PeersSettings,
     is_client: bool,
 ) -> PeerConnection:
-    hello = Hello(member_id=member_id, nonce=secrets.token_hex(16))
-    first = FrameWriter(key=derive_session_key(shared_key, "hello"))
-    writer.write(first.encode(wrap_message(hello)))
+    own_hello = Hello(member_id=member_id, nonce=secrets.token_hex(16))
+    hello_writer = FrameWriter(key=derive_session_key(shared_key, "hello"))
+    writer.write(hello_writer.encode(wrap_message(own_hello)))
     hello_reader = FrameReader(
         key=derive_session_key(shared_key, "hello"), max_bytes=MAX_HELLO_BYTES
     )
-    other = unwrap_message(await hello_reader.read(reader))
-    if not isinstance(other, Hello) or not other.member_id:
-        raise FrameError(ResultCode.BAD_FRAME, "a hello was expected")
-    if other.protocol_version != hello.protocol_version:
-        raise FrameError(ResultCode.BAD_FRAME, "another protocol version")
-    client, server = (hello, other) if is_client else (other, hello)
+    peer_hello = unwrap_message(await hello_reader.read(reader))
+    if not isinstance(peer_hello, Hello) or not peer_hello.member_id:
+        raise FrameError(
+            ResultCode.BAD_FRAME,
+            "first message is not a hello with a member id",
+        )
+    if peer_hello.protocol_version != own_hello.protocol_version:
+        raise FrameError(ResultCode.BAD_FRAME, "unsupported protocol version")
+    client, server = (
+        (own_hello, peer_hello) if is_client else (peer_hello, own_hello)
+    )
     nonces = (client.nonce, server.nonce)
     to_server = derive_session_key(shared_key, "to server", *nonces)
     to_client = derive_session_key(shared_key, "to client", *nonces)
@@ -225,7 +236,7 @@
         (to_server, to_client) if is_client else (to_client, to_server)
     )
     return PeerConnection(
-        peer_id=other.member_id,
+        peer_id=peer_hello.member_id,
         reader=reader,
         writer=writer,
         frame_reader=FrameReader(
--- a/src/auburnswitch/members/peer_link.py
+++ b/src/auburnswitch/members/peer_link.py
@@ -23,13 +23,15 @@
 
 
 class PeerLink:
-    """Reconnects to one peer for ever and carries calls to it.
+    """Keeps reconnecting to one peer and sends calls to it.
 
     Attributes:
         member: The peer.
+        member_id: This daemon's member id.
         connection: The open connection, if there is one.
-        consecutive_timeouts: Heartbeats in a row that had no answer in time.
-        heartbeat_requested: Set when the next heartbeat should not wait.
+        consecutive_timeouts: Consecutive calls without a reply within the
+            timeout.
+        heartbeat_requested: Set when the next heartbeat is due immediately.
     """
 
     __slots__ = (
@@ -65,7 +67,7 @@
         self.connection: PeerConnection | None = None
 
     async def run(self) -> None:
-        """Connects, reads replies, and reconnects after a delay."""
+        """Connects, reads replies, and reconnects with backoff."""
         backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
@@ -78,7 +80,7 @@
                     dial=self.dial,
                 ) as connection:
                     backoff_s = INITIAL_BACKOFF_S
-                    await self._use(connection)
+                    await self._receive_replies(connection)
             except FrameError as error:
                 log_event(
                     EventId.PEER_FRAME_REJECTED,
@@ -87,11 +89,11 @@
                     reason=str(error),
                 )
             except (OSError, EOFError, TimeoutError):
-                pass  # the peer is away; try again
+                pass  # the peer is unreachable; retry
             await asyncio.sleep(backoff_s * self.rng.uniform(0.5, 1.0))
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
-    async def _use(self, connection: PeerConnection) -> None:
+    async def _receive_replies(self, connection: PeerConnection) -> None:
         log_event(EventId.PEER_CONNECTED, peer=self.member.id)
         self.connection = connection
         self.consecutive_timeouts = 0
@@ -104,7 +106,7 @@
             log_event(EventId.PEER_DISCONNECTED, peer=self.member.id)
 
     async def wait_for_heartbeat(self, interval_s: float) -> None:
-        """Waits for the time, or the wish, of the next heartbeat."""
+        """Waits until the next heartbeat is due or requested."""
         try:
             async with asyncio.timeout(interval_s):
                 await self.heartbeat_requested.wait()
@@ -118,8 +120,8 @@
         """Calls the peer.
 
         Raises:
-            ConnectionError: There is no connection, or it ended.
-            TimeoutError: No reply came in time.
+            ConnectionError: There is no connection, or it was closed.
+            TimeoutError: No reply arrived within the timeout.
         """
         if self.connection is None:
             raise ConnectionRefusedError(f"no connection to {self.member.id}")
@@ -127,7 +129,7 @@
         return await self.connection.call(body, timeout_s)
 
     async def try_call(self, body: Struct) -> Struct | None:
-        """Calls the peer; drops the connection if it keeps silent.
+        """Calls the peer; aborts the connection after repeated timeouts.
 
         Returns:
             The reply; None if there was none.
--- a/src/auburnswitch/members/peer_server.py
+++ b/src/auburnswitch/members/peer_server.py
@@ -1,4 +1,4 @@
-"""Accepts peer connections and answers their calls."""
+"""Accepts peer connections and handles their calls."""
 
 from __future__ import annotations
 
@@ -28,15 +28,17 @@
 
 
 class PeerServer:
-    """Passes each call of a peer to the handler of its message class.
+    """Dispatches each message of a peer to the handler of its class.
 
     Attributes:
-        settings: Address and bounds of the listener.
-        member_id: This daemon's incarnation.
-        shared_key: Key that all daemons know.
-        handlers: Handler by message class; it gets the message and the peer's
+        settings: Address and limits of the listener.
+        member_id: Member id of this daemon's incarnation.
+        shared_key: Key that all daemons share.
+        handlers: Handler by message class; receives the message and the peer's
             member id and returns the reply, if there is one.
-        port: TCP port that is listened on.
+        port: TCP port of the listener.
+        connections: Writers of the open connections.
+        connection_tasks: Tasks that serve the open connections.
     """
 
     __slots__ = (
@@ -102,41 +104,41 @@
                 settings=self.settings,
             )
             async with open_task_set() as tasks:
-                await self._answer_calls(connection, tasks)
+                await self._handle_calls(connection, tasks)
         except FrameError as error:
             _log_rejected(error)
         except (OSError, EOFError, TimeoutError):
-            pass  # the peer went away
+            pass  # the peer closed the connection or is too slow
         finally:
             self.connections.discard(writer)
             writer.close()
 
-    async def _answer_calls(
+    async def _handle_calls(
         self, connection: PeerConnection, tasks: TaskSet
     ) -> None:
-        """Answers calls as they come, a bounded number at one time."""
-        room = asyncio.Semaphore(self.settings.max_calls)
+        """Handles received calls, at most ``max_calls`` concurrently."""
+        call_slots = asyncio.Semaphore(self.settings.max_calls)
         while True:
-            await room.acquire()
+            await call_slots.acquire()
             envelope = await connection.receive()
-            call = self._answer(
-                connection, envelope, unwrap_message(envelope), room
+            call = self._handle_call(
+                connection, envelope, unwrap_message(envelope), call_slots
             )
             tasks.start(call, "peer call")
 
-    async def _answer(
+    async def _handle_call(
         self,
         connection: PeerConnection,
         envelope: Envelope,
         body: Struct,
-        room: asyncio.Semaphore,
+        call_slots: asyncio.Semaphore,
     ) -> None:
         try:
-            await self._handle(connection, envelope, body)
+            await self._dispatch(connection, envelope, body)
         finally:
-            room.release()
+            call_slots.release()
 
-    async def _handle(
+    async def _dispatch(
         self, connection: PeerConnection, envelope: Envelope, body: Struct
     ) -> None:
         handler = self.handlers.get(type(body))
@@ -150,7 +152,7 @@
             _log_rejected(error)
             connection.close()
         except ConnectionError:
-            return  # the caller went away
+            return  # the calling peer closed the connection
 
 
 def _log_rejected(error: FrameError) -> None:
--- a/src/auburnswitch/members/peer_status.py
+++ b/src/auburnswitch/members/peer_status.py
@@ -1,4 +1,4 @@
-"""What one daemon knows of one peer."""
+"""One daemon's record of a peer's liveness and state."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 
 
 class PeerStatus:
-    """What is known of one peer. All times are loop time, in seconds.
+    """Liveness and reported state of one peer.
+
+    All times are loop times, in seconds.
 
     Attributes:
         member: The peer's identity and address.
-        first_seen_at: When this daemon first learned of the peer.
-        heard_at: When the peer was last heard.
-        heard_ids: Members that the peer has heard lately.
+        first_seen_at: When this daemon added the peer.
+        last_received_at: When the newest message of the peer was received.
+        reported_live_ids: Live members in the peer's newest heartbeat.
         acked_at: Sending time of the newest heartbeat that the peer has
             acknowledged at ``acked_epoch``.
         acked_epoch: Roster epoch of that acknowledgement.
-        known_epoch: Newest roster epoch that the peer is known to know.
-        leaving: The peer is stopping.
+        roster_epoch: Newest roster epoch that the peer has reported.
+        leaving: Whether the peer is stopping.
         state_digest: Digest of the peer's configuration.
         store_read_at: When the peer last read the platform's store.
     """
@@ -34,11 +36,11 @@
         "acked_at",
         "acked_epoch",
         "first_seen_at",
-        "heard_at",
-        "heard_ids",
-        "known_epoch",
+        "last_received_at",
         "leaving",
         "member",
+        "reported_live_ids",
+        "roster_epoch",
         "state_digest",
         "store_read_at",
     )
@@ -46,40 +48,40 @@
     def __init__(self, *, member: Member) -> None:
         self.member = member
         self.first_seen_at = monotonic_s()
-        self.heard_at = NEVER
-        self.heard_ids: frozenset[str] = frozenset()
+        self.last_received_at = NEVER
+        self.reported_live_ids: frozenset[str] = frozenset()
         self.acked_at = NEVER
         self.acked_epoch = 0
-        self.known_epoch = 0
+        self.roster_epoch = 0
         self.leaving = False
         self.state_digest = ""
         self.store_read_at = NEVER
 
     def record_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Takes what a heartbeat of the peer says."""
+        """Records a heartbeat of the peer."""
         now = monotonic_s()
-        self.heard_at = now
-        self.heard_ids = frozenset(heartbeat.heard)
-        self.known_epoch = max(self.known_epoch, heartbeat.epoch)
+        self.last_received_at = now
+        self.reported_live_ids = frozenset(heartbeat.heard)
+        self.roster_epoch = max(self.roster_epoch, heartbeat.epoch)
         self.leaving = heartbeat.leaving
         self.state_digest = heartbeat.state_digest
         read_at = now - max(0.0, heartbeat.store_age_s)
         self.store_read_at = max(self.store_read_at, read_at)
 
     def record_ack(self, ack: HeartbeatAck, sent_at: float) -> None:
-        """Takes an acknowledgement.
+        """Records an acknowledgement of the peer.
 
         Args:
-            ack: The peer's answer.
-            sent_at: When the heartbeat that it answers was sent, by this
-                daemon's clock.
+            ack: The acknowledgement.
+            sent_at: Loop time at which this daemon sent the acknowledged
+                heartbeat, in seconds.
         """
-        self.heard_at = monotonic_s()
+        self.last_received_at = monotonic_s()
         self.leaving = ack.leaving
         self.state_digest = ack.state_digest
-        self.known_epoch = max(self.known_epoch, ack.epoch)
+        self.roster_epoch = max(self.roster_epoch, ack.epoch)
         if ack.epoch < self.acked_epoch:
-            return  # a late answer; the peer knows a newer epoch
+            return  # late reply; the peer has acknowledged a newer epoch
         if ack.epoch > self.acked_epoch:
             self.acked_at = NEVER
         self.acked_epoch = ack.epoch
--- a/src/auburnswitch/members/relay_selector.py
+++ b/src/auburnswitch/members/relay_selector.py
@@ -1,7 +1,7 @@
-"""Chooses the daemon that passes datagrams on in each availability zone.
+"""Selects the daemon that relays datagrams in each availability zone.
 
-What a relay sends grows with its zone, so only daemons on instances with
-strong links are chosen.
+The traffic of a relay grows with its zone, so only daemons on instances with
+fast links are selected.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class RelaySelector:
-    """The relay of each zone: the first live daemon in rendezvous order.
+    """Selects each zone's relay: the first live daemon in rendezvous order.
 
     Attributes:
         local_record: This daemon's record.
-        live_peers: Returns the peers that were heard of lately.
+        live_peers: Returns the live peers.
     """
 
     __slots__ = ("_refreshed_at", "_relays", "live_peers", "local_record")
@@ -51,7 +51,7 @@
         return self._relays.get(zone, "")
 
     def is_relay(self) -> bool:
-        """Whether this daemon passes on in its own zone."""
+        """Returns whether this daemon is the relay of its zone."""
         return (
             self.relay_for(self.local_record.zone) == self.local_record.instance
         )
@@ -69,12 +69,12 @@
 
 
 def fastest_link_instances(records: list[DaemonRecord]) -> list[str]:
-    """Returns the instances whose links are not much slower than the best."""
-    best = max((record.link_mbps for record in records), default=0.0)
+    """Returns the instances with links near the fastest link's speed."""
+    fastest_mbps = max((record.link_mbps for record in records), default=0.0)
     return [
         record.instance
         for record in records
-        if record.link_mbps >= best * MIN_LINK_SPEED_RATIO
+        if record.link_mbps >= fastest_mbps * MIN_LINK_SPEED_RATIO
     ]
 
 
--- a/src/auburnswitch/members/rendezvous.py
+++ b/src/auburnswitch/members/rendezvous.py
@@ -17,7 +17,7 @@
 
 
 def rendezvous_order(name: str, member_ids: Iterable[str]) -> list[str]:
-    """Returns the members in the order in which they would own a name."""
+    """Returns the members by decreasing rendezvous score for a name."""
     return sorted(
         member_ids, key=lambda member_id: _score(name, member_id), reverse=True
     )
--- a/src/auburnswitch/members/roster.py
+++ b/src/auburnswitch/members/roster.py
@@ -1,4 +1,4 @@
-"""Keeps the roster in step with the daemons that are alive."""
+"""Updates the stored roster as daemons join and leave."""
 
 from __future__ import annotations
 
@@ -43,25 +43,29 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoredRoster:
-    """The roster and the version of its object."""
+    """A roster and the version of its stored object."""
 
     roster: Roster
     version: int
 
 
 class RosterManager:
-    """Changes the roster by conditional updates only.
+    """Changes the roster by conditional writes only.
 
-    At rest it makes no call: the store's watch brings each new roster.
+    It makes no store call while no change is needed: the store's watch
+    delivers each new roster.
 
     Attributes:
-        store: The platform's store.
-        view: What is known of the members.
-        planner: Decides on the next change.
-        termination_detector: Proof that members have ended.
+        store: Client of the platform's store.
+        view: Roster and liveness of the members.
+        planner: Plans the next change.
+        termination_detector: Proof that members have terminated.
         store_synced: Set once the store's objects have been listed.
-        stored: Newest roster read from the store.
-        wake_event: Set when there may be something to do.
+        stored: Newest roster read from the store or written to it.
+        wake_event: Set when a change may be needed.
+        backoff_s: Delay after a failed store call, in seconds.
+        last_quorum_at: Loop time of the last check with a quorum, in seconds.
+        quorum_loss_reported: Whether the present loss has been logged.
     """
 
     __slots__ = (
@@ -104,7 +108,7 @@
         view.roster_listeners.append(lambda _: self.wake_event.set())
 
     def handle_object(self, item: StoredObject) -> None:
-        """Takes a stored roster into the view."""
+        """Adopts a stored roster if it is newer."""
         try:
             roster = from_json(Roster, item.value)
         except SchemaError:
@@ -119,51 +123,53 @@
             )
 
     async def run(self) -> None:
-        """Proposes changes for ever, one at a time."""
+        """Proposes changes, one at a time, until cancelled."""
         while True:
             self.wake_event.clear()
-            self._watch_quorum()
+            self._check_quorum()
             change = None
             if self.store_synced.is_set() and not self.view.leaving:
                 change = await self._plan()
             if change is None or not await self._propose(change):
-                await self._rest()
+                await self._wait_for_change()
 
     async def leave(self) -> None:
-        """Takes this daemon out of the roster, if that can be done soon."""
+        """Removes this daemon from the roster, or gives up at a timeout."""
         change = RemoveMember(member_id=self.view.local_member.id)
         try:
             async with asyncio.timeout(LEAVE_TIMEOUT_S):
                 while self.view.local_member.id in self.view.roster_ids():
                     self.wake_event.clear()
                     if not await self._propose(change):
-                        await self._rest()
+                        await self._wait_for_change()
         except TimeoutError:
-            return  # the others remove it once it is silent
+            return  # the others remove this daemon once it is silent
 
     async def _plan(self) -> RosterChange | None:
         change = self.planner.next_change()
         view = self.view
-        agrees = view.majority_knows_epoch() and view.hears_majority()
-        if change is None and not agrees:
+        majority_agrees = (
+            view.majority_has_current_epoch() and view.reaches_majority()
+        )
+        if change is None and not majority_agrees:
             await self.termination_detector.refresh()
             change = self.planner.next_change()
         return change
 
-    async def _rest(self) -> None:
+    async def _wait_for_change(self) -> None:
         await asyncio.sleep(self.backoff_s * self.rng.uniform(0.5, 1.0))
         try:
             async with asyncio.timeout(ROSTER_CHECK_INTERVAL_S):
                 await self.wake_event.wait()
         except TimeoutError:
-            return  # silence makes no event; look again
+            return  # a peer becoming silent sets no event, so check again
 
     async def _propose(self, change: RosterChange) -> bool:
-        """Writes the next epoch; returns whether something newer is known."""
+        """Writes the next epoch; returns whether a newer roster was stored."""
         epoch = self.view.roster.epoch
         stored = self.stored or StoredRoster(roster=Roster(), version=ABSENT)
         if stored.roster.epoch != epoch or not self.planner.may_propose(change):
-            return stored.roster.epoch < epoch and await self._read()
+            return stored.roster.epoch < epoch and await self._read_roster()
         roster = apply_roster_change(stored.roster, change)
         if len(roster.members) == len(stored.roster.members):
             return False
@@ -172,18 +178,20 @@
         )
         match put:
             case Result(tag="ok", ok=version):
-                self._take(roster, version, change)
+                self._adopt_written(roster, version, change)
                 return True
             case Result(error=VersionConflict()):
-                spread_s = self.rng.uniform(0, MAX_CONFLICT_JITTER_S)
-                await asyncio.sleep(spread_s)
-                return await self._read()
+                jitter_s = self.rng.uniform(0, MAX_CONFLICT_JITTER_S)
+                await asyncio.sleep(jitter_s)
+                return await self._read_roster()
             case Result(error=StoreUnavailable(outcome_unknown=True)):
-                return await self._read()  # the write may have been made
+                return await self._read_roster()  # the write may have succeeded
         self._back_off()
         return False
 
-    def _take(self, roster: Roster, version: int, change: RosterChange) -> None:
+    def _adopt_written(
+        self, roster: Roster, version: int, change: RosterChange
+    ) -> None:
         self.backoff_s = 0.0
         self.handle_object(
             StoredObject(key=ROSTER_KEY, version=version, value=to_json(roster))
@@ -191,8 +199,8 @@
         if isinstance(change, RemoveMember):
             log_event(EventId.MEMBER_REMOVED, member=change.member_id)
 
-    async def _read(self) -> bool:
-        """Reads the roster; returns whether something newer is known."""
+    async def _read_roster(self) -> bool:
+        """Reads the roster; returns whether it is newer."""
         before = self.stored
         match await self.store.get(ROSTER_KEY):
             case Result(tag="ok", ok=StoredObject() as item):
@@ -207,8 +215,8 @@
             max(2 * self.backoff_s, INITIAL_BACKOFF_S), MAX_BACKOFF_S
         )
 
-    def _watch_quorum(self) -> None:
-        """Raises an alarm while strict rights wait."""
+    def _check_quorum(self) -> None:
+        """Logs a long loss of the quorum that leases need, and its end."""
         now = monotonic_s()
         if self.view.has_quorum():
             self.last_quorum_at = now
@@ -216,9 +224,11 @@
                 self.quorum_loss_reported = False
                 log_event(EventId.STRICT_RIGHTS_RESUMED)
             return
-        silence_s = now - max(self.last_quorum_at, self.view.last_resumed_at)
+        without_quorum_s = now - max(
+            self.last_quorum_at, self.view.last_resumed_at
+        )
         if (
-            silence_s < self.view.settings.remove_after_s
+            without_quorum_s < self.view.settings.remove_after_s
             or self.quorum_loss_reported
         ):
             return
--- a/src/auburnswitch/members/roster_changes.py
+++ b/src/auburnswitch/members/roster_changes.py
@@ -24,13 +24,13 @@
 
     @property
     def member_id(self) -> str:
-        """Id of the member that the change is about."""
+        """Id of the added member."""
         return self.member.id
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemoveMember:
-    """Takes a member out of the roster."""
+    """Removes a member from the roster."""
 
     member_id: str
 
@@ -50,63 +50,65 @@
 class RosterChangePlanner:
     """Decides which change this daemon should propose, if any.
 
-    Every change adds or removes one member. It needs a majority that knows
-    the present epoch, but for the removal of a member that has certainly
-    ended. The first live member of the roster proposes; if the change does
-    not come, the next one does after its turn.
+    Every change adds or removes one member. It requires a majority that has
+    the current epoch, except for the removal of a member that has provably
+    terminated. The first live member of the roster proposes; if the change
+    does not happen, the others propose it after delays staggered by rank.
 
     Attributes:
-        view: What is known of the members.
-        termination_detector: Proof that members have ended.
-        change_wanted_since: Loop time since which a change is wanted, in
-            seconds, by the id of the member that it is about.
+        view: Roster and liveness of the members.
+        termination_detector: Proof that members have terminated.
+        change_needed_since: Loop time since which a change has been needed,
+            in seconds, by the id of the member that it adds or removes.
     """
 
-    __slots__ = ("change_wanted_since", "termination_detector", "view")
+    __slots__ = ("change_needed_since", "termination_detector", "view")
 
     def __init__(
         self, *, view: MemberView, termination_detector: TerminationDetector
     ) -> None:
         self.view = view
         self.termination_detector = termination_detector
-        self.change_wanted_since: dict[str, float] = {}
+        self.change_needed_since: dict[str, float] = {}
 
     def next_change(self) -> RosterChange | None:
-        """Returns the change to propose now."""
-        wanted = self._wanted()
-        self._note_wanted(wanted)
-        patience_s = self._rank() * PROPOSAL_STAGGER_S
+        """Returns the change to propose now, None if there is none."""
+        needed = self._needed_changes()
+        self._record_needed_changes(needed)
+        stagger_s = self._proposer_rank() * PROPOSAL_STAGGER_S
         now = monotonic_s()
-        for change in wanted:
-            if now - self.change_wanted_since[change.member_id] >= patience_s:
+        for change in needed:
+            if now - self.change_needed_since[change.member_id] >= stagger_s:
                 return change
         return None
 
     def may_propose(self, change: RosterChange) -> bool:
-        """Tells whether the rule allows a change of the present roster."""
-        if self.view.majority_knows_epoch():
+        """Returns whether the current roster may be changed this way."""
+        if self.view.majority_has_current_epoch():
             return True
         match change:
             case RemoveMember(member_id=member_id):
                 return member_id in self.termination_detector.terminated_ids()
         return False
 
-    def _wanted(self) -> list[RosterChange]:
-        gone = self.termination_detector.terminated_ids()
-        changes: list[RosterChange] = [RemoveMember(member_id=i) for i in gone]
-        if not self.view.majority_knows_epoch():
+    def _needed_changes(self) -> list[RosterChange]:
+        terminated = self.termination_detector.terminated_ids()
+        changes: list[RosterChange] = [
+            RemoveMember(member_id=i) for i in terminated
+        ]
+        if not self.view.majority_has_current_epoch():
             return changes
         leaving = [i for i in self.view.roster_ids() if self._is_leaving(i)]
-        if self.view.hears_majority():
-            leaving += self.view.silent_ids()
+        if self.view.reaches_majority():
+            leaving += self.view.unreachable_ids()
         changes += [
             RemoveMember(member_id=i)
             for i in dict.fromkeys(leaving)
-            if i not in gone
+            if i not in terminated
         ]
-        return changes + self._joins()
+        return changes + self._additions()
 
-    def _joins(self) -> list[RosterChange]:
+    def _additions(self) -> list[RosterChange]:
         members = set(self.view.roster_ids())
         joining = [i for i in self.view.live_ids() if i not in members]
         return [AddMember(member=self._member(i)) for i in joining]
@@ -120,22 +122,22 @@
         status = self.view.peers.get(member_id)
         return status is not None and status.leaving
 
-    def _note_wanted(self, wanted: list[RosterChange]) -> None:
+    def _record_needed_changes(self, needed: list[RosterChange]) -> None:
         now = monotonic_s()
-        self.change_wanted_since = {
-            change.member_id: self.change_wanted_since.get(
+        self.change_needed_since = {
+            change.member_id: self.change_needed_since.get(
                 change.member_id, now
             )
-            for change in wanted
+            for change in needed
         }
 
-    def _rank(self) -> int:
+    def _proposer_rank(self) -> int:
         live = self.view.live_ids()
         members = [i for i in self.view.roster_ids() if i in live]
         others = [i for i in live if i not in members]
         order = members + others
-        me = self.view.local_member.id
-        return order.index(me) if me in order else len(order)
+        local_id = self.view.local_member.id
+        return order.index(local_id) if local_id in order else len(order)
 
 
 __all__ = [
--- a/src/auburnswitch/members/roster_history.py
+++ b/src/auburnswitch/members/roster_history.py
@@ -1,4 +1,4 @@
-"""Remembers the rosters that this daemon has learned, in order."""
+"""Stores the newest consecutive rosters that this daemon has received."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class RosterHistory:
-    """Member ids of consecutive epochs up to the present one.
+    """Member ids of consecutive epochs up to the current one.
 
-    A gap in the epochs forgets all that came before it, since nothing is
-    known of the owners in between.
+    A gap in the epochs discards all earlier epochs, since the owners during
+    the gap are unknown.
 
     Attributes:
-        member_ids: Members by epoch, of consecutive epochs.
-        epoch: The present epoch; 0 before the first roster.
+        member_ids: Member ids by epoch, for consecutive epochs.
+        epoch: The current epoch; 0 before the first roster.
     """
 
     __slots__ = ("epoch", "member_ids")
@@ -30,7 +30,7 @@
         self.member_ids: dict[int, tuple[str, ...]] = {}
 
     def append(self, roster: Roster) -> None:
-        """Takes a newer roster."""
+        """Appends a newer roster."""
         if roster.epoch != self.epoch + 1:
             self.member_ids.clear()
         self.epoch = roster.epoch
@@ -39,19 +39,19 @@
         self.member_ids.pop(roster.epoch - RETAINED_EPOCHS, None)
 
     def owner_of(self, endpoint: str, epoch: int) -> str:
-        """Returns the owner in an epoch, empty if it is not known."""
+        """Returns an endpoint's owner in an epoch, empty if unknown."""
         return rendezvous_owner(endpoint, self.member_ids.get(epoch, ()))
 
     def ownership_start_epoch(self, endpoint: str, through: int) -> int:
-        """Returns the first epoch of the tenure that includes an epoch.
+        """Returns the first epoch of the ownership period around an epoch.
 
         Args:
             endpoint: Name of the endpoint.
-            through: Last epoch of the tenure looked at.
+            through: Last epoch of the ownership period to consider.
 
         Returns:
-            The oldest epoch from which on, through the given one, the
-            endpoint is known to have had one owner.
+            The oldest known epoch since which, through the given one, the
+            endpoint has had the same owner.
         """
         owner = self.owner_of(endpoint, through)
         start = through
--- a/src/auburnswitch/members/signed_frames.py
+++ b/src/auburnswitch/members/signed_frames.py
@@ -1,8 +1,8 @@
-"""Authenticated thrift messages without a connection.
+"""Authenticated thrift messages that do not depend on a connection.
 
-A frame is a message authentication code (16 bytes), a byte that says whether
-the rest is compressed, and a message in thrift's binary protocol. Nothing is
-decoded before its code has been checked.
+A frame is a message authentication code (16 bytes), a compression flag (1
+byte), and a message in thrift's binary protocol, which may be compressed. The
+authentication code is verified before anything is decoded.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 MAX_MESSAGE_BYTES: Final = 64 * 1024 * 1024
 _PLAIN: Final = b"\0"
 _COMPRESSED: Final = b"\1"
-_FASTEST: Final = 1  # level of compression
+_COMPRESSION_LEVEL: Final = 1  # fastest
 _PROTOCOL: Final = TBinaryProtocolFactory()
 _DECODE_ERRORS: Final = (
     TDecodeException,
@@ -50,35 +50,41 @@
     if len(payload) < COMPRESSION_THRESHOLD_BYTES:
         payload = _PLAIN + payload
     else:
-        payload = _COMPRESSED + zlib.compress(payload, _FASTEST)
+        payload = _COMPRESSED + zlib.compress(payload, _COMPRESSION_LEVEL)
     return _mac(key, payload) + payload
 
 
 def decode_signed(key: bytes, frame: bytes, message: StructT) -> StructT:
-    """Checks a frame and decodes it into an empty message.
+    """Verifies a frame and decodes it into an empty message.
 
     Raises:
-        SignedFrameError: The frame is not acceptable.
+        SignedFrameError: The frame has a wrong authentication code or cannot
+            be decoded.
     """
     mac, payload = frame[:MAC_BYTES], frame[MAC_BYTES:]
     if not hmac.compare_digest(mac, _mac(key, payload)):
-        raise SignedFrameError("wrong signature")
+        raise SignedFrameError("wrong message authentication code")
     try:
-        encoded = _expand(payload)
+        encoded = _decompress(payload)
         validate_message(encoded)
         return deserialize(message, encoded, _PROTOCOL)
     except _DECODE_ERRORS as error:
-        raise SignedFrameError("cannot be decoded") from error
+        raise SignedFrameError("frame cannot be decoded") from error
 
 
-def _expand(payload: bytes) -> bytes:
-    """Returns the encoded message of a payload."""
+def _decompress(payload: bytes) -> bytes:
+    """Returns the encoded message of a payload.
+
+    Raises:
+        ValueError: The message is too long or truncated.
+        zlib.error: The message is not compressed correctly.
+    """
     if payload[:1] == _PLAIN:
         return payload[1:]
-    expander = zlib.decompressobj()
-    message = expander.decompress(payload[1:], MAX_MESSAGE_BYTES)
-    if not expander.eof:
-        raise ValueError("too long, or cut short")
+    decompressor = zlib.decompressobj()
+    message = decompressor.decompress(payload[1:], MAX_MESSAGE_BYTES)
+    if not decompressor.eof:
+        raise ValueError("message is too long or truncated")
     return message
 
 
--- a/src/auburnswitch/members/state_exchange.py
+++ b/src/auburnswitch/members/state_exchange.py
@@ -1,4 +1,4 @@
-"""Passes on between daemons what one knows and the other does not."""
+"""Transfers newer configuration state between daemons."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
     Attributes:
         installation: This daemon's state.
-        key: Returns the key that all daemons share, empty if not known.
-        live_peers: Returns the peers that were heard of lately.
+        key: Returns the key that all daemons share, empty if not available.
+        live_peers: Returns the live peers.
         zone: This daemon's availability zone.
-        rng: Source of chance.
+        rng: Random generator for delays and the choice of peers.
     """
 
     __slots__ = (
@@ -92,46 +92,50 @@
         finally:
             server.close()
 
-    def is_behind(self, news: Gossip) -> bool:
-        """Whether a peer knows something newer."""
-        known = self.installation
+    def is_behind(self, message: Gossip) -> bool:
+        """Returns whether a peer's message reports newer state."""
+        state = self.installation
         return (
-            news.config_version > known.config_version
-            or news.closed_zones_revision > known.closed_zones_revision
-            or news.endpoints_revision > known.endpoints_revision
+            message.config_version > state.config_version
+            or message.closed_zones_revision > state.closed_zones_revision
+            or message.endpoints_revision > state.endpoints_revision
         )
 
     async def catch_up(self) -> None:
-        """Fetches newer state from some peer, unless that is under way.
+        """Fetches newer state from a peer, unless a fetch is in progress.
 
-        It waits a little first: the change may be on its way in a datagram,
-        and not all daemons should ask at the same moment.
+        A random delay precedes the fetch, since the change may arrive in a
+        datagram and not all daemons should fetch at the same time.
         """
         if self._fetching:
             return
         self._fetching = True
         try:
             peers = self.live_peers()
-            most_s = MIN_FETCH_DELAY_S + MAX_FETCH_DELAY_PER_PEER_S * len(peers)
-            await asyncio.sleep(self.rng.uniform(MIN_FETCH_DELAY_S, most_s))
-            ahead = [
+            max_delay_s = MIN_FETCH_DELAY_S + MAX_FETCH_DELAY_PER_PEER_S * len(
+                peers
+            )
+            await asyncio.sleep(
+                self.rng.uniform(MIN_FETCH_DELAY_S, max_delay_s)
+            )
+            newer_peers = [
                 p for p in self.live_peers() if self.is_behind(p.last_message)
             ]
-            if ahead:
-                await self._fetch(self._choose(ahead))
+            if newer_peers:
+                await self._fetch(self._choose_peer(newer_peers))
         finally:
             self._fetching = False
 
-    def _choose(self, peers: list[GossipPeer]) -> GossipPeer:
-        """Returns one of the peers, of this zone if there is one."""
-        near = [peer for peer in peers if peer.record.zone == self.zone]
-        return self.rng.choice(near or peers)
+    def _choose_peer(self, peers: list[GossipPeer]) -> GossipPeer:
+        """Returns a random peer, from this zone if possible."""
+        same_zone = [peer for peer in peers if peer.record.zone == self.zone]
+        return self.rng.choice(same_zone or peers)
 
     async def _fetch(self, peer: GossipPeer) -> None:
         name = peer.record.instance
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
-                update = await self._ask(peer)
+                update = await self._request_update(peer)
         except _EXCHANGE_ERRORS as error:
             log_event(
                 EventId.PEER_EXCHANGE_FAILED, peer=name, reason=repr(error)
@@ -139,16 +143,16 @@
             return
         self._adopt(update, f"peer {name}")
 
-    async def _ask(self, peer: GossipPeer) -> StateUpdate:
+    async def _request_update(self, peer: GossipPeer) -> StateUpdate:
         reader, writer = await asyncio.open_connection(
             peer.record.host, peer.record.port
         )
         try:
-            known = self.installation
+            state = self.installation
             fetch = StateFetch(
-                config_version=known.config_version,
-                endpoints_revision=known.endpoints_revision,
-                closed_zones_revision=known.closed_zones_revision,
+                config_version=state.config_version,
+                endpoints_revision=state.endpoints_revision,
+                closed_zones_revision=state.closed_zones_revision,
             )
             _write_frame(writer, self.key(), fetch)
             frame = await _read_frame(reader)
@@ -171,24 +175,24 @@
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 frame = await _read_frame(reader)
                 fetch = decode_signed(self.key(), frame, StateFetch())
-                _write_frame(writer, self.key(), self._update(fetch))
+                _write_frame(writer, self.key(), self._build_update(fetch))
                 await writer.drain()
         except _EXCHANGE_ERRORS as error:
             log_event(EventId.PEER_EXCHANGE_FAILED, reason=repr(error))
         finally:
             writer.close()
 
-    def _update(self, fetch: StateFetch) -> StateUpdate:
-        known = self.installation
+    def _build_update(self, fetch: StateFetch) -> StateUpdate:
+        state = self.installation
         update = StateUpdate()
-        if known.table and known.config_version > fetch.config_version:
-            update.config = known.table.config
-        if known.endpoints_revision > fetch.endpoints_revision:
-            update.endpoints = known.list_endpoints()
-        if known.closed_zones_revision > fetch.closed_zones_revision:
+        if state.table and state.config_version > fetch.config_version:
+            update.config = state.table.config
+        if state.endpoints_revision > fetch.endpoints_revision:
+            update.endpoints = state.list_endpoints()
+        if state.closed_zones_revision > fetch.closed_zones_revision:
             update.closed_zones = ClosedZones(
-                revision=known.closed_zones_revision,
-                zones=sorted(known.closed_zones),
+                revision=state.closed_zones_revision,
+                zones=sorted(state.closed_zones),
             )
         return update
 
@@ -203,7 +207,7 @@
 async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
-        raise SignedFrameError(f"{length} bytes are too many")
+        raise SignedFrameError(f"frame of {length} bytes exceeds the limit")
     return await reader.readexactly(length)
 
 
--- a/src/auburnswitch/members/termination_detector.py
+++ b/src/auburnswitch/members/termination_detector.py
@@ -1,4 +1,4 @@
-"""Decides which members of the roster have certainly ended."""
+"""Decides which members of the roster have provably terminated."""
 
 from __future__ import annotations
 
@@ -22,21 +22,23 @@
 
 
 class TerminationDetector:
-    """Collects proof that members have ended.
+    """Collects proof that members have terminated.
 
-    There are two proofs. A daemon that runs on a member's instance knows that
-    the member has ended, since one daemon runs on an instance at a time. And
-    the platform's list of instances no longer has the member's instance; the
-    list lags, so it counts only for members known for longer than its lag,
-    and only if it has this daemon's own instance.
+    There are two proofs. First, a newer daemon runs on the member's instance,
+    since an instance runs one daemon at a time. Second, the platform's list of
+    instances no longer includes the member's instance; the list lags, so this
+    counts only for members known for longer than the lag, and only if the list
+    includes this daemon's own instance.
 
     Attributes:
-        view: What is known of the members.
+        view: Roster and liveness of the members.
         store: Reads the list of instances.
         former_ids: Members whose instances run a newer daemon.
-        listed_instances: Names on the newest list of instances.
-        list_requested_at: Loop time at which that list was asked for, in
+        listed_instances: Names in the newest list of instances.
+        list_requested_at: Loop time at which that list was requested, in
             seconds.
+        duplicate_member_id: Last live member that was reported to use this
+            daemon's instance name.
     """
 
     __slots__ = (
@@ -57,7 +59,7 @@
         self.duplicate_member_id = ""
 
     def record_former_ids(self, member_ids: Iterable[str]) -> None:
-        """Takes what a peer says of its own former incarnations."""
+        """Records the former incarnations that a peer reports of itself."""
         self.former_ids.update(
             i for i in member_ids if i != self.view.local_member.id
         )
@@ -67,22 +69,25 @@
         return [
             member.id
             for member in self.view.roster.members
-            if self._is_former_self(member)
+            if self._is_former_incarnation(member)
         ]
 
     def terminated_ids(self) -> list[str]:
-        """Returns the members of the roster that have certainly ended."""
+        """Returns the members of the roster that have provably terminated."""
         self.former_ids.update(self.own_former_ids())
         members = self.view.roster.members
         self.former_ids.intersection_update(member.id for member in members)
         return [
             member.id
             for member in members
-            if member.id in self.former_ids or self._is_unlisted(member)
+            if member.id in self.former_ids or self._is_instance_removed(member)
         ]
 
     async def refresh(self) -> None:
-        """Reads the list of instances if a member has gone silent."""
+        """Reads the list of instances if a member is silent.
+
+        A list younger than ``INSTANCE_LIST_INTERVAL_S`` is not read again.
+        """
         suspect_s = self.view.settings.suspect_after_s
         silent = [
             member_id
@@ -102,19 +107,25 @@
                 )
                 self.list_requested_at = now
 
-    def _is_former_self(self, member: Member) -> bool:
-        me = self.view.local_member
-        if member.instance != me.instance or member.id == me.id:
+    def _is_former_incarnation(self, member: Member) -> bool:
+        local_member = self.view.local_member
+        if (
+            member.instance != local_member.instance
+            or member.id == local_member.id
+        ):
             return False
         suspect_s = self.view.settings.suspect_after_s
         if self.view.silence_s(member.id) >= suspect_s:
             return True
         status = self.view.peers.get(member.id)
-        if status is not None and status.heard_at > status.first_seen_at:
-            self._note_shared(member.id)
+        if (
+            status is not None
+            and status.last_received_at > status.first_seen_at
+        ):
+            self._report_duplicate(member.id)
         return False
 
-    def _note_shared(self, member_id: str) -> None:
+    def _report_duplicate(self, member_id: str) -> None:
         if self.duplicate_member_id == member_id:
             return
         self.duplicate_member_id = member_id
@@ -124,7 +135,7 @@
             member=member_id,
         )
 
-    def _is_unlisted(self, member: Member) -> bool:
+    def _is_instance_removed(self, member: Member) -> bool:
         status = self.view.peers.get(member.id)
         if (
             status is None
--- a/tests/endpoints/test_orphans.py
+++ b/tests/endpoints/test_orphans.py
@@ -148,7 +148,7 @@
                     link.claims = claims
                     for _ in range(6):
                         peer = collector.endpoint_manager.view.peers["p"]
-                        peer.heard_at = monotonic_s()
+                        peer.last_received_at = monotonic_s()
                         await asyncio.sleep(2)
                         await collector.collect_if_due(ledger)
                     used.append(engine.batch.memory_used_tokens > 0)
--- a/tests/members/test_gossip.py
+++ b/tests/members/test_gossip.py
@@ -128,7 +128,7 @@
             sender = nodes[0].node
             for peer in sender.peers.values():
                 if peer.record.zone == "b":
-                    peer.heard_at = None  # its relay cannot be known
+                    peer.last_received_at = None  # its relay cannot be known
             sender.send_started_work([WorkItem(id=7)])
             await wait_until(
                 lambda: all(n.heard_items("a-0") == [7] for n in nodes[18:])
--- a/tests/routing/test_team_limits.py
+++ b/tests/routing/test_team_limits.py
@@ -61,7 +61,7 @@
                     limits.fill_heartbeat(beat, peer.view.local_member.id)
                     peer.note_heartbeat(beat)
                     status = peer.view.peers[sender.id]
-                    status.heard_at = asyncio.get_running_loop().time()
+                    status.last_received_at = asyncio.get_running_loop().time()
             await asyncio.sleep(INTERVAL_S)
 
 
