--- a/src/auburnswitch/members/frames.py
+++ b/src/auburnswitch/members/frames.py
@@ -170,14 +170,14 @@
         Raises:
             FrameError: The frame is too long, has a wrong authentication
                 code, is out of sequence or cannot be decoded.
-            asyncio.IncompleteReadError: The connection ended.
+            asyncio.IncompleteReadError: The connection was closed.
         """
         header = await stream.readexactly(_HEADER.size)
         length, sequence, mac = _HEADER.unpack(header)
         if length > self.max_bytes:
             raise FrameError(
                 ResultCode.BAD_FRAME,
-                f"frame of {length} bytes exceeds the limit",
+                f"{length} bytes exceed the frame size limit",
             )
         payload = await stream.readexactly(length)
         expected = _mac(self.key, sequence, payload)
--- a/src/auburnswitch/members/gossip_peer.py
+++ b/src/auburnswitch/members/gossip_peer.py
@@ -23,7 +23,7 @@
     """State of another entry daemon.
 
     Attributes:
-        record: The peer's address, zone and link speed.
+        record: The peer's record, with its address.
         last_message: Newest message of the peer.
         last_received_at: Loop time at which ``last_message`` was received, in
             seconds; None before the first message.
--- a/src/auburnswitch/members/member_view.py
+++ b/src/auburnswitch/members/member_view.py
@@ -150,7 +150,7 @@
         )
 
     def owner_of(self, endpoint: str) -> str:
-        """Returns the live member that owns an endpoint without a lease."""
+        """Returns an endpoint's owner by the live members, without a lease."""
         return rendezvous_owner(endpoint, self.live_ids())
 
     def roster_ids(self) -> list[str]:
--- a/src/auburnswitch/members/membership.py
+++ b/src/auburnswitch/members/membership.py
@@ -309,7 +309,7 @@
         return StateReply(
             snapshot=self.state.snapshot(),
             roster=self.view.roster,
-            heard_members=self.view.heard_members(),
+            heard_members=self.view.reachable_members(),
         )
 
 
--- a/src/auburnswitch/members/roster.py
+++ b/src/auburnswitch/members/roster.py
@@ -65,7 +65,7 @@
         wake_event: Set when a change may be needed.
         backoff_s: Delay after a failed store call, in seconds.
         last_quorum_at: Loop time of the last check with a quorum, in seconds.
-        quorum_loss_reported: Whether the present loss has been logged.
+        quorum_loss_reported: Whether the present quorum loss has been logged.
     """
 
     __slots__ = (
--- a/src/auburnswitch/members/state_exchange.py
+++ b/src/auburnswitch/members/state_exchange.py
@@ -207,7 +207,7 @@
 async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
-        raise SignedFrameError(f"frame of {length} bytes exceeds the limit")
+        raise SignedFrameError(f"{length} bytes exceed the frame size limit")
     return await reader.readexactly(length)
 
 
--- a/src/auburnswitch/members/termination_detector.py
+++ b/src/auburnswitch/members/termination_detector.py
@@ -143,8 +143,11 @@
         ):
             return False
         lag_s = self.view.settings.instances_lag_s
-        known_s = self.list_requested_at - status.first_seen_at
-        return member.instance not in self.listed_instances and known_s >= lag_s
+        member_age_s = self.list_requested_at - status.first_seen_at
+        return (
+            member.instance not in self.listed_instances
+            and member_age_s >= lag_s
+        )
 
 
 __all__ = ["TerminationDetector"]
--- a/tests/members/lease_overlap_checker.py
+++ b/tests/members/lease_overlap_checker.py
@@ -1,4 +1,4 @@
-"""Watches who holds strict rights in a fleet."""
+"""Checks that ownership leases in a fleet never overlap."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 
 
 class LeaseOverlapChecker:
-    """Checks that strict rights of an endpoint never overlap.
+    """Checks that the leases of an endpoint never overlap.
 
-    A grant may be used for a second after it, so the rights of two daemons
-    must be that far apart.
+    A reservation may be used for ``RESERVATION_TTL_S`` after it was granted,
+    so the leases of two daemons must be at least that far apart.
 
     Attributes:
         fleet: The fleet.
-        frozen: Instances that do nothing at present.
-        last: Last holder of each endpoint and when it held the rights.
-        changes: Times that the rights went to another daemon.
+        frozen: Instances that are frozen now.
+        last_holders: Member id of each endpoint's last holder, and the loop
+            time at which it last held the lease, in seconds.
+        changes: Number of times that a lease moved to another daemon.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.frozen: set[str] = set()
-        self.last: dict[str, tuple[str, float]] = {}
+        self.last_holders: dict[str, tuple[str, float]] = {}
         self.changes = 0
 
     async def run(self) -> None:
@@ -39,31 +40,32 @@
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def sample(self) -> None:
-        """Asks every daemon that could act now.
+        """Checks the leases of every daemon that is not frozen.
 
         Raises:
-            AssertionError: Two daemons hold the rights of one endpoint.
+            AssertionError: The leases of two daemons on one endpoint overlap
+                or are too close to each other.
         """
         for instance, daemon in self.fleet.daemons.items():
             if instance in self.frozen:
                 continue
             for endpoint in daemon.state.endpoints:
                 if daemon.ownership_leases.holds_lease(endpoint):
-                    self.note(endpoint, daemon.member.id)
+                    self.record_holder(endpoint, daemon.member.id)
 
-    def note(self, endpoint: str, member_id: str) -> None:
+    def record_holder(self, endpoint: str, member_id: str) -> None:
         now = monotonic_s()
-        holder, held_at = self.last.get(endpoint, (member_id, now))
+        holder, held_at = self.last_holders.get(endpoint, (member_id, now))
         if holder != member_id:
             self.changes += 1
             if now - held_at < RESERVATION_TTL_S - SAMPLE_INTERVAL_S:
                 raise AssertionError(
                     f"{endpoint}: {holder} at {held_at}, {member_id} at {now}"
                 )
-        self.last[endpoint] = member_id, now
+        self.last_holders[endpoint] = member_id, now
 
     def holders(self, endpoint: str) -> list[str]:
-        """Returns the instances that hold the rights now."""
+        """Returns the instances that hold an endpoint's lease now."""
         return [
             instance
             for instance, daemon in self.fleet.daemons.items()
--- a/tests/members/network.py
+++ b/tests/members/network.py
@@ -1,4 +1,4 @@
-"""Cuts daemons of a fleet off from peers and from the platform."""
+"""Simulates network partitions between daemons, peers and the platform."""
 
 from __future__ import annotations
 
@@ -16,27 +16,28 @@
 
 
 class PartitionableNetwork:
-    """Opens the connections of a fleet's daemons, and cuts them.
+    """Opens the connections of a fleet's daemons and partitions them.
 
-    A cut holds back the bytes of open connections and refuses new ones, both
-    ways, until it is healed.
+    A partition between two daemons delays the bytes of open connections and
+    refuses new connections in both directions until it is healed.
 
     Attributes:
-        fleet: The fleet, once it is there.
-        cuts: Pairs of instances that do not reach each other.
-        platform_partitioned: Instances that do not reach the platform.
-        changed: Replaced, and set, with each change of the cuts.
+        fleet: The fleet; None until it has started.
+        partitions: Pairs of instances that cannot reach each other.
+        platform_partitioned: Instances that cannot reach the platform.
+        changed: Set, and replaced by a new event, when partitions change.
+        pumps: Tasks that forward bytes or watch connections.
     """
 
     def __init__(self) -> None:
         self.fleet: Fleet | None = None
-        self.cuts: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.platform_partitioned: set[str] = set()
         self.changed = asyncio.Event()
         self.pumps: list[asyncio.Task[None]] = []
 
     def options(self, instance: str) -> dict[str, Any]:
-        """Returns the arguments of ``open_daemon`` for an instance."""
+        """Returns the network arguments of ``open_daemon`` for an instance."""
 
         async def dial(host: str, port: int) -> tuple[Any, Any]:
             return await self.dial(instance, host, port)
@@ -46,24 +47,24 @@
             "connector": lambda: PartitionedConnector(self, instance),
         }
 
-    def cut(self, group: Iterable[str], others: Iterable[str]) -> None:
-        """Cuts each instance of a group off from each of the others."""
+    def partition(self, group: Iterable[str], others: Iterable[str]) -> None:
+        """Partitions each instance of a group from each of the others."""
         others = list(others)
-        self.cuts |= {frozenset((a, b)) for a in group for b in others}
-        self.note_change()
+        self.partitions |= {frozenset((a, b)) for a in group for b in others}
+        self.notify_change()
 
-    def cut_platform(self, instances: Iterable[str]) -> None:
-        """Cuts instances off from the platform."""
+    def partition_platform(self, instances: Iterable[str]) -> None:
+        """Partitions instances from the platform."""
         self.platform_partitioned |= set(instances)
-        self.note_change()
+        self.notify_change()
 
     def heal(self) -> None:
-        """Ends all cuts."""
-        self.cuts.clear()
+        """Ends all partitions."""
+        self.partitions.clear()
         self.platform_partitioned.clear()
-        self.note_change()
+        self.notify_change()
 
-    def note_change(self) -> None:
+    def notify_change(self) -> None:
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
@@ -74,60 +75,70 @@
                 return instance
         return ""
 
-    def is_cut(self, instance: str, port: int) -> bool:
-        return frozenset((instance, self.instance_at(port))) in self.cuts
+    def is_partitioned(self, instance: str, port: int) -> bool:
+        return frozenset((instance, self.instance_at(port))) in self.partitions
 
     async def dial(self, instance: str, host: str, port: int) -> tuple:
-        if self.is_cut(instance, port):
-            raise ConnectionRefusedError("cut")
+        if self.is_partitioned(instance, port):
+            raise ConnectionRefusedError("network partition")
         reader, writer = await asyncio.open_connection(host, port)
-        near = asyncio.StreamReader()
-        held = BufferedWriter(writer, near)
+        local_reader = asyncio.StreamReader()
+        buffered_writer = BufferedWriter(writer, local_reader)
         for pump in (
             self.pump(
-                instance, port, reader.read, near.feed_data, near.feed_eof
+                instance,
+                port,
+                reader.read,
+                local_reader.feed_data,
+                local_reader.feed_eof,
+            ),
+            self.pump(
+                instance,
+                port,
+                buffered_writer.read_queued,
+                buffered_writer.forward,
+                writer.close,
             ),
-            self.pump(instance, port, held.take, held.pass_on, writer.close),
         ):
             self.pumps.append(asyncio.create_task(pump))
-        return near, held
+        return local_reader, buffered_writer
 
     async def pump(
-        self, instance: str, port: int, read: Any, write: Any, end: Any
+        self, instance: str, port: int, read: Any, write: Any, close: Any
     ) -> None:
-        """Passes bytes on while the pair is not cut."""
+        """Forwards bytes while the two daemons are not partitioned."""
         try:
             while data := await read(READ_BYTES):
-                while self.is_cut(instance, port):
+                while self.is_partitioned(instance, port):
                     await self.changed.wait()
                 write(data)
         except OSError:
             pass
-        end()
+        close()
 
 
 class BufferedWriter:
-    """Stands in for a stream writer, whose bytes a pump passes on."""
+    """Queues written bytes in place of a stream writer; a pump sends them."""
 
     def __init__(
-        self, writer: asyncio.StreamWriter, near: asyncio.StreamReader
+        self, writer: asyncio.StreamWriter, local_reader: asyncio.StreamReader
     ) -> None:
         self.writer = writer
-        self.near = near
+        self.local_reader = local_reader
         self.closed = False
         self.transport = writer.transport
         self.queue: asyncio.Queue[bytes] = asyncio.Queue()
 
-    async def take(self, _: int) -> bytes:
+    async def read_queued(self, _: int) -> bytes:
         return await self.queue.get()
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         if not self.writer.is_closing():
             self.writer.write(data)
 
     def feed(self, data: bytes) -> None:
         if not self.closed:
-            self.near.feed_data(data)
+            self.local_reader.feed_data(data)
 
     def write(self, data: bytes) -> None:
         self.queue.put_nowait(data)
@@ -135,11 +146,11 @@
     def close(self) -> None:
         self.closed = True
         self.queue.put_nowait(b"")
-        self.near.feed_eof()
+        self.local_reader.feed_eof()
 
 
 class PartitionedConnector(SimulatedConnector):
-    """Breaks and refuses the connections of a cut instance."""
+    """Aborts and refuses an instance's connections to the platform."""
 
     def __init__(self, network: PartitionableNetwork, instance: str) -> None:
         super().__init__(limit=0)
@@ -152,7 +163,9 @@
         transport, protocol = await super()._wrap_create_connection(
             *args, **kwargs
         )
-        watch = asyncio.create_task(self.break_when_cut(transport, port))
+        watch = asyncio.create_task(
+            self.abort_when_partitioned(transport, port)
+        )
         self.network.pumps.append(watch)
         return transport, protocol
 
@@ -161,15 +174,15 @@
         return fleet is not None and fleet.platform.url.endswith(f":{port}")
 
     def check(self, port: int) -> None:
-        cut = self.instance in self.network.platform_partitioned
-        if cut and self.is_platform(port):
-            raise ConnectionRefusedError("cut")
+        partitioned = self.instance in self.network.platform_partitioned
+        if partitioned and self.is_platform(port):
+            raise ConnectionRefusedError("network partition")
 
-    async def break_when_cut(self, transport: Any, port: int) -> None:
+    async def abort_when_partitioned(self, transport: Any, port: int) -> None:
         while not transport.is_closing():
             await self.network.changed.wait()
-            cut = self.instance in self.network.platform_partitioned
-            if cut and self.is_platform(port):
+            partitioned = self.instance in self.network.platform_partitioned
+            if partitioned and self.is_platform(port):
                 transport.abort()
 
 
--- a/tests/members/ownership_model.py
+++ b/tests/members/ownership_model.py
@@ -1,10 +1,11 @@
-"""A small model of the strict-ownership rule, searched state by state.
-
-One endpoint; the owner is the roster's member with the highest number. Time
-goes on in ticks, all clocks at one rate. A member that does nothing for some
-ticks stands for a paused one, a message that is never delivered for a lost one.
-Each owner grants whenever it may, since a later grant only lasts longer, and
-notes its majority at once, since an earlier note only starts it sooner.
+"""Model of the ownership lease rule with an exhaustive state search.
+
+The model has one endpoint, owned by the roster's member with the highest
+number. Time advances in ticks, and all clocks run at the same rate. A member
+that does nothing for some ticks represents a paused one, and a message that is
+never delivered represents a lost one. Each owner grants whenever it may, since
+a later grant only lasts longer, and records its majority immediately, since
+that starts its waiting time earliest.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from typing import TYPE_CHECKING
 
 from tests.members.ownership_state import (
-    DEAD,
     NONE,
+    TERMINATED,
     Daemon,
     ReceivedHandover,
     State,
@@ -27,15 +28,16 @@
 
 
 class OverlappingOwnersError(AssertionError):
-    """Two owners may use strict rights at one time."""
+    """Two owners may use the endpoint's lease at the same time."""
 
 
 class Model:
-    """Searches all states that a rule allows.
+    """Searches all states that can be reached under a rule.
 
     Attributes:
-        rule: The rule.
-        states: States found.
+        rule: The rule and the limits of the search.
+        none: A tuple of ``NONE`` for each member.
+        states: Number of states found.
     """
 
     __slots__ = ("none", "rule", "states")
@@ -46,131 +48,154 @@
         self.states = 0
 
     def search(self) -> int:
-        """Visits every state, breadth first; returns their number.
+        """Visits every state in breadth-first order; returns their number.
 
         Raises:
-            OverlappingOwnersError: A state with two strict owners was found.
+            OverlappingOwnersError: A state was found in which one owner
+                grants while another's grant may still be used.
         """
-        first = self._first()
-        seen = {first}
+        initial = self._initial_state()
+        seen = {initial}
         queue = collections.deque(seen)
         while queue:
-            for state in self._next(queue.popleft()):
-                after = self._settle(state)
-                if after not in seen:
-                    seen.add(after)
-                    queue.append(after)
+            for state in self._next_states(queue.popleft()):
+                next_state = self._apply_grants(state)
+                if next_state not in seen:
+                    seen.add(next_state)
+                    queue.append(next_state)
         self.states = len(seen)
         return self.states
 
-    def _first(self) -> State:
+    def _initial_state(self) -> State:
         rule = self.rule
         roster = (1 << rule.initial) - 1
-        blank = Daemon(1, 1, self.none, self.none)
-        owner = blank._replace(waited=rule.wait)
-        daemons = [blank] * rule.members
+        follower = Daemon(1, 1, self.none, self.none)
+        owner = follower._replace(waited=rule.wait)
+        daemons = [follower] * rule.members
         daemons[rule.initial - 1] = owner
         return State((0, roster), tuple(daemons), (0,) * rule.members)
 
-    def _next(self, state: State) -> Iterator[State]:
+    def _next_states(self, state: State) -> Iterator[State]:
         yield self._tick(state)
-        yield from self._changes(state)
+        yield from self._roster_changes(state)
         for number, daemon in enumerate(state.daemons):
-            if daemon.epoch == DEAD:
+            if daemon.epoch == TERMINATED:
                 continue
-            yield from self._learn(state, number)
+            yield from self._adopt_epochs(state, number)
             if self._owner(state, daemon.epoch) == number:
                 yield from self._exchange(state, number)
                 if self.rule.handovers:
                     yield from self._leave(state, number)
-        yield from self._fail(state)
+        yield from self._terminate_or_restart(state)
 
     def _owner(self, state: State, epoch: int) -> int:
         return state.rosters[epoch].bit_length() - 1
 
     def _tick(self, state: State) -> State:
         daemons = tuple([self._aged(daemon) for daemon in state.daemons])
-        grants = tuple([max(0, left - 1) for left in state.grants])
+        grants = tuple([max(0, remaining - 1) for remaining in state.grants])
         return state._replace(daemons=daemons, grants=grants)
 
     def _aged(self, daemon: Daemon) -> Daemon:
-        if daemon.epoch == DEAD:
+        if daemon.epoch == TERMINATED:
             return daemon
         rule = self.rule
-        ages = daemon.ages
-        if ages != self.none:
-            ages = tuple([_older(age, rule.lease) for age in ages])
-        posts = daemon.posts
-        if posts != self.none:
-            posts = tuple([_older(age, rule.delay + 1) for age in posts])
+        ack_ages = daemon.ack_ages
+        if ack_ages != self.none:
+            ack_ages = tuple(
+                [_increment_age(age, rule.lease) for age in ack_ages]
+            )
+        acks_in_transit = daemon.acks_in_transit
+        if acks_in_transit != self.none:
+            acks_in_transit = tuple(
+                [
+                    _increment_age(age, rule.max_delay + 1)
+                    for age in acks_in_transit
+                ]
+            )
         waited = daemon.waited
         if waited != NONE:
             waited = min(waited + 1, rule.wait)
-        handed = daemon.handed
-        if handed is not None and handed.age < rule.handover_wait:
-            handed = handed._replace(age=handed.age + 1)
+        handover = daemon.handover
+        if handover is not None and handover.age < rule.handover_wait:
+            handover = handover._replace(age=handover.age + 1)
         return daemon._replace(
-            ages=ages, posts=posts, waited=waited, handed=handed
+            ack_ages=ack_ages,
+            acks_in_transit=acks_in_transit,
+            waited=waited,
+            handover=handover,
         )
 
-    def _changes(self, state: State) -> Iterator[State]:
+    def _roster_changes(self, state: State) -> Iterator[State]:
         rule = self.rule
         epoch = len(state.rosters) - 1
         if epoch >= rule.epochs:
             return
         roster = state.rosters[epoch]
-        agreed = not rule.needs_majority or self._knows(state, epoch)
+        majority_agrees = not rule.needs_majority or self._majority_has_epoch(
+            state, epoch
+        )
         for number, daemon in enumerate(state.daemons):
-            dead = daemon.epoch == DEAD
-            inside = roster >> number & 1
-            if inside and (agreed or dead or not rule.gone_proof):
-                yield self._changed(state, roster ^ 1 << number)
-            if not inside and agreed and not dead:
-                yield self._changed(state, roster | 1 << number)
+            terminated = daemon.epoch == TERMINATED
+            is_member = roster >> number & 1
+            if is_member and (
+                majority_agrees
+                or terminated
+                or not rule.needs_termination_proof
+            ):
+                yield self._with_roster(state, roster ^ 1 << number)
+            if not is_member and majority_agrees and not terminated:
+                yield self._with_roster(state, roster | 1 << number)
         if not rule.one_at_a_time:
-            yield from self._swaps(state, roster)
+            yield from self._roster_replacements(state, roster)
 
-    def _swaps(self, state: State, roster: int) -> Iterator[State]:
+    def _roster_replacements(
+        self, state: State, roster: int
+    ) -> Iterator[State]:
         for mask in range(1, 1 << self.rule.members):
             if mask.bit_count() == self.rule.initial and mask != roster:
-                yield self._changed(state, mask)
+                yield self._with_roster(state, mask)
 
-    def _changed(self, state: State, roster: int) -> State:
+    def _with_roster(self, state: State, roster: int) -> State:
         return state._replace(rosters=(*state.rosters, roster))
 
-    def _knows(self, state: State, epoch: int) -> bool:
+    def _majority_has_epoch(self, state: State, epoch: int) -> bool:
         roster = state.rosters[epoch]
-        known = sum(
+        with_epoch = sum(
             max(daemon.epoch, daemon.since) >= epoch and roster >> number & 1
             for number, daemon in enumerate(state.daemons)
         )
-        return 2 * known > roster.bit_count() or not roster
+        return 2 * with_epoch > roster.bit_count() or not roster
 
-    def _learn(self, state: State, number: int) -> Iterator[State]:
+    def _adopt_epochs(self, state: State, number: int) -> Iterator[State]:
         daemon = state.daemons[number]
         for epoch in range(daemon.epoch + 1, len(state.rosters)):
-            learned = self._learned(state, number, epoch)
-            yield learned
+            adopted = self._with_epoch(state, number, epoch)
+            yield adopted
             if self.rule.handovers:
-                yield from self._pass_on(state, learned, number, epoch)
+                yield from self._hand_over_to_successor(
+                    state, adopted, number, epoch
+                )
 
-    def _learned(self, state: State, number: int, epoch: int) -> State:
+    def _with_epoch(self, state: State, number: int, epoch: int) -> State:
         daemon = state.daemons[number]
-        follows = epoch == daemon.epoch + 1 or self.rule.joins_tenures
-        stays = (
-            follows
+        consecutive = (
+            epoch == daemon.epoch + 1 or self.rule.joins_ownership_periods
+        )
+        still_owner = (
+            consecutive
             and self._owner(state, daemon.epoch) == number
             and self._owner(state, epoch) == number
         )
-        return self._put(
+        return self._with_daemon(
             state,
             number,
             daemon._replace(
                 epoch=epoch,
-                since=daemon.since if follows else epoch,
-                ages=self.none,
-                posts=self.none,
-                waited=daemon.waited if stays else NONE,
+                since=daemon.since if consecutive else epoch,
+                ack_ages=self.none,
+                acks_in_transit=self.none,
+                waited=daemon.waited if still_owner else NONE,
                 granting=False,
             ),
         )
@@ -181,139 +206,173 @@
         for peer, other in enumerate(state.daemons):
             if peer == number or not state.rosters[daemon.epoch] >> peer & 1:
                 continue
-            knows = other.epoch == daemon.epoch
-            if knows or (rule.acks_older and other.epoch > daemon.epoch):
-                yield self._post(state, number, peer)
-            if daemon.posts[peer] != NONE:
-                age = 0 if rule.date_by_receipt else daemon.posts[peer]
-                yield self._ack(state, number, peer, age)
-
-    def _post(self, state: State, number: int, peer: int) -> State:
-        if not self.rule.delay:
-            return self._ack(state, number, peer, 0)
+            has_epoch = other.epoch == daemon.epoch
+            if has_epoch or (
+                rule.acks_older_epochs and other.epoch > daemon.epoch
+            ):
+                yield self._send_ack(state, number, peer)
+            if daemon.acks_in_transit[peer] != NONE:
+                age = (
+                    0 if rule.date_by_receipt else daemon.acks_in_transit[peer]
+                )
+                yield self._receive_ack(state, number, peer, age)
+
+    def _send_ack(self, state: State, number: int, peer: int) -> State:
+        if not self.rule.max_delay:
+            return self._receive_ack(state, number, peer, 0)
         daemon = state.daemons[number]
-        posts = _with(daemon.posts, peer, 0)
-        return self._put(state, number, daemon._replace(posts=posts))
+        acks_in_transit = _replace_item(daemon.acks_in_transit, peer, 0)
+        return self._with_daemon(
+            state, number, daemon._replace(acks_in_transit=acks_in_transit)
+        )
 
-    def _ack(self, state: State, number: int, peer: int, age: int) -> State:
+    def _receive_ack(
+        self, state: State, number: int, peer: int, age: int
+    ) -> State:
         daemon = state.daemons[number]
-        ages = daemon.ages
+        ack_ages = daemon.ack_ages
         if age < self.rule.lease:
-            best = age if ages[peer] == NONE else min(age, ages[peer])
-            ages = _with(ages, peer, best)
-        posts = _with(daemon.posts, peer, NONE)
-        return self._put(state, number, daemon._replace(ages=ages, posts=posts))
+            best = age if ack_ages[peer] == NONE else min(age, ack_ages[peer])
+            ack_ages = _replace_item(ack_ages, peer, best)
+        acks_in_transit = _replace_item(daemon.acks_in_transit, peer, NONE)
+        return self._with_daemon(
+            state,
+            number,
+            daemon._replace(ack_ages=ack_ages, acks_in_transit=acks_in_transit),
+        )
 
     def _leave(self, state: State, number: int) -> Iterator[State]:
-        """Hands over because the owner leaves."""
+        """Yields the states after an owner leaves, first without a handover."""
         daemon = state.daemons[number]
-        if state.leavers >> number & 1 or not self._begun(state, number):
+        if state.leaving >> number & 1 or not self._lease_started(
+            state, number
+        ):
             return
-        left = state._replace(leavers=state.leavers | 1 << number)
+        after_leaving = state._replace(leaving=state.leaving | 1 << number)
         roster = state.rosters[daemon.epoch] & ~(1 << number)
-        yield left
+        yield after_leaving
         if roster:
-            heir = roster.bit_length() - 1
-            yield self._hand(
-                left, heir, ReceivedHandover(number, daemon.epoch, 0)
+            successor = roster.bit_length() - 1
+            yield self._deliver_handover(
+                after_leaving,
+                successor,
+                ReceivedHandover(number, daemon.epoch, 0),
             )
 
-    def _pass_on(
-        self, state: State, learned: State, number: int, epoch: int
+    def _hand_over_to_successor(
+        self, state: State, adopted: State, number: int, epoch: int
     ) -> Iterator[State]:
-        """Hands over because a newer roster names another owner."""
-        before = state.daemons[number]
-        heir = self._owner(state, epoch)
+        """Yields the state after a handover due to a newer roster, if any."""
+        old_daemon = state.daemons[number]
+        successor = self._owner(state, epoch)
         if (
-            self._owner(state, before.epoch) == number
-            and heir not in (number, NONE)
-            and epoch == before.epoch + 1
-            and self._begun(state, number)
+            self._owner(state, old_daemon.epoch) == number
+            and successor not in (number, NONE)
+            and epoch == old_daemon.epoch + 1
+            and self._lease_started(state, number)
         ):
-            yield self._hand(
-                learned, heir, ReceivedHandover(number, before.epoch, 0)
+            yield self._deliver_handover(
+                adopted,
+                successor,
+                ReceivedHandover(number, old_daemon.epoch, 0),
             )
 
-    def _hand(self, state: State, heir: int, handed: ReceivedHandover) -> State:
-        daemon = state.daemons[heir]
-        if daemon.epoch == DEAD:
+    def _deliver_handover(
+        self, state: State, successor: int, handover: ReceivedHandover
+    ) -> State:
+        daemon = state.daemons[successor]
+        if daemon.epoch == TERMINATED:
             return state
-        return self._put(state, heir, daemon._replace(handed=handed))
+        return self._with_daemon(
+            state, successor, daemon._replace(handover=handover)
+        )
 
-    def _fail(self, state: State) -> Iterator[State]:
-        dead = sum(daemon.epoch == DEAD for daemon in state.daemons)
+    def _terminate_or_restart(self, state: State) -> Iterator[State]:
+        terminated = sum(daemon.epoch == TERMINATED for daemon in state.daemons)
         for number, daemon in enumerate(state.daemons):
-            if daemon.epoch == DEAD:
-                if self.rule.rejoins:
-                    again = Daemon(1, 1, self.none, self.none)
-                    yield self._put(state, number, again)
-            elif dead < self.rule.deaths:
-                gone = Daemon(DEAD, daemon.epoch, self.none, self.none)
-                yield self._put(state, number, gone)
-
-    def _begun(self, state: State, number: int) -> bool:
+            if daemon.epoch == TERMINATED:
+                if self.rule.acks_after_restart:
+                    restarted = Daemon(1, 1, self.none, self.none)
+                    yield self._with_daemon(state, number, restarted)
+            elif terminated < self.rule.max_terminated:
+                terminated_daemon = Daemon(
+                    TERMINATED, daemon.epoch, self.none, self.none
+                )
+                yield self._with_daemon(state, number, terminated_daemon)
+
+    def _lease_started(self, state: State, number: int) -> bool:
         daemon = state.daemons[number]
-        return daemon.waited == self.rule.wait or self._inherits(state, number)
+        return daemon.waited == self.rule.wait or self._started_by_handover(
+            state, number
+        )
 
-    def _inherits(self, state: State, number: int) -> bool:
+    def _started_by_handover(self, state: State, number: int) -> bool:
         daemon = state.daemons[number]
-        handed = daemon.handed
-        if handed is None or handed.age < self.rule.handover_wait:
+        handover = daemon.handover
+        if handover is None or handover.age < self.rule.handover_wait:
             return False
-        start = self._start(state, daemon.epoch, daemon.since)
+        start = self._ownership_start(state, daemon.epoch, daemon.since)
         if start == daemon.since:
             return False
-        giver = self._owner(state, start - 1)
-        since = self._start(state, start - 1, daemon.since)
-        return giver == handed.giver and since <= handed.epoch < start
+        predecessor = self._owner(state, start - 1)
+        since = self._ownership_start(state, start - 1, daemon.since)
+        return (
+            predecessor == handover.sender and since <= handover.epoch < start
+        )
 
-    def _start(self, state: State, epoch: int, oldest: int) -> int:
+    def _ownership_start(self, state: State, epoch: int, oldest: int) -> int:
         owner = self._owner(state, epoch)
         while epoch > oldest and self._owner(state, epoch - 1) == owner:
             epoch -= 1
         return epoch
 
-    def _settle(self, state: State) -> State:
-        """Lets each owner note its majority and grant if it may."""
+    def _apply_grants(self, state: State) -> State:
+        """Records each owner's majority and grants where the rule allows it."""
         for number, daemon in enumerate(state.daemons):
-            if daemon.epoch == DEAD:
+            if daemon.epoch == TERMINATED:
                 continue
             if self._owner(state, daemon.epoch) == number:
-                state = self._settle_owner(state, number)
+                state = self._apply_owner_grant(state, number)
         return state
 
-    def _settle_owner(self, state: State, number: int) -> State:
+    def _apply_owner_grant(self, state: State, number: int) -> State:
         daemon = state.daemons[number]
         roster = state.rosters[daemon.epoch]
-        acked = 1 + sum(age != NONE for age in daemon.ages)
-        quorate = 2 * acked > roster.bit_count()
-        if quorate and daemon.waited == NONE:
+        acked = 1 + sum(age != NONE for age in daemon.ack_ages)
+        has_quorum = 2 * acked > roster.bit_count()
+        if has_quorum and daemon.waited == NONE:
             daemon = daemon._replace(waited=0)
-            state = self._put(state, number, daemon)
-        may = quorate and self._begun(state, number)
+            state = self._with_daemon(state, number, daemon)
+        may_grant = has_quorum and self._lease_started(state, number)
         if not self.rule.checks_clock:
-            may = may or daemon.granting
-        if state.leavers >> number & 1:
-            may = False
-        if may != daemon.granting and not self.rule.checks_clock:
-            state = self._put(state, number, daemon._replace(granting=may))
-        return self._grant(state, number) if may else state
+            may_grant = may_grant or daemon.granting
+        if state.leaving >> number & 1:
+            may_grant = False
+        if may_grant != daemon.granting and not self.rule.checks_clock:
+            state = self._with_daemon(
+                state, number, daemon._replace(granting=may_grant)
+            )
+        return self._grant(state, number) if may_grant else state
 
     def _grant(self, state: State, number: int) -> State:
-        for other, left in enumerate(state.grants):
-            if other != number and left:
+        for other, remaining in enumerate(state.grants):
+            if other != number and remaining:
                 raise OverlappingOwnersError(f"{other} and {number}: {state}")
-        return state._replace(grants=_with(state.grants, number, self.rule.ttl))
+        return state._replace(
+            grants=_replace_item(state.grants, number, self.rule.ttl)
+        )
 
-    def _put(self, state: State, number: int, daemon: Daemon) -> State:
-        return state._replace(daemons=_with(state.daemons, number, daemon))
+    def _with_daemon(self, state: State, number: int, daemon: Daemon) -> State:
+        return state._replace(
+            daemons=_replace_item(state.daemons, number, daemon)
+        )
 
 
-def _older(age: int, limit: int) -> int:
+def _increment_age(age: int, limit: int) -> int:
     return NONE if age == NONE or age + 1 >= limit else age + 1
 
 
-def _with(values: tuple, index: int, value: object) -> tuple:
+def _replace_item(values: tuple, index: int, value: object) -> tuple:
     return (*values[:index], value, *values[index + 1 :])
 
 
--- a/tests/members/partitionable_fleet.py
+++ b/tests/members/partitionable_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets whose daemons can be cut, killed and started."""
+"""Fleets whose daemons can be partitioned, killed and started."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
     from auburnswitch.experiments.fleet import Fleet
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 @contextlib.asynccontextmanager
@@ -32,56 +32,60 @@
         connector=SimulatedConnector,
         daemon_options=network.options,
     )
-    async with _numbered_ids(), open_fleet(options) as fleet:
+    async with _deterministic_ids(), open_fleet(options) as fleet:
         network.fleet = fleet
-        await until(lambda: agreed(fleet), 10)
+        await wait_until(lambda: is_converged(fleet), 10)
         yield fleet, network
 
 
 @contextlib.asynccontextmanager
-async def _numbered_ids() -> AsyncIterator[None]:
-    """Makes the ids of incarnations, and so the owners, the same each run."""
-    numbers = random.Random(1)
+async def _deterministic_ids() -> AsyncIterator[None]:
+    """Makes incarnation ids, and so the owners, the same in each run."""
+    rng = random.Random(1)
 
     def token_hex(size: int) -> str:
-        return numbers.randbytes(size).hex()
+        return rng.randbytes(size).hex()
 
     with mock.patch("secrets.token_hex", token_hex):
         yield
 
 
-async def until(holds: Callable[[], bool], limit_s: float) -> float:
-    """Waits until a condition holds; returns how long that took."""
+async def wait_until(condition: Callable[[], bool], limit_s: float) -> float:
+    """Waits until a condition holds; returns the waiting time in seconds.
+
+    Raises:
+        TimeoutError: The condition did not hold within ``limit_s``.
+    """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     async with asyncio.timeout(limit_s):
-        while not holds():
-            await asyncio.sleep(POLL_S)
+        while not condition():
+            await asyncio.sleep(POLL_INTERVAL_S)
     return loop.time() - started_at
 
 
-def stored_ids(fleet: Fleet) -> list[str]:
+def stored_member_ids(fleet: Fleet) -> list[str]:
     stored = fleet.platform.store.objects.get(ROSTER_KEY)
     members = stored.value["members"] if stored is not None else []
     return sorted(member["id"] for member in members)
 
 
-def agreed(fleet: Fleet) -> bool:
-    """Tells whether all daemons are in one roster and have a majority."""
+def is_converged(fleet: Fleet) -> bool:
+    """Returns whether all daemons have the stored roster and a majority."""
     ids = sorted(daemon.member.id for daemon in fleet.daemons.values())
-    return stored_ids(fleet) == ids and all(
+    return stored_member_ids(fleet) == ids and all(
         sorted(daemon.view.roster_ids()) == ids and daemon.view.has_quorum()
         for daemon in fleet.daemons.values()
     )
 
 
-async def kill(fleet: Fleet, numbers: Iterable[int]) -> None:
+async def kill_daemons(fleet: Fleet, numbers: Iterable[int]) -> None:
     await asyncio.gather(
         *(fleet.stop_daemon(number, graceful=False) for number in numbers)
     )
 
 
-async def start(fleet: Fleet, numbers: Iterable[int]) -> None:
+async def start_daemons(fleet: Fleet, numbers: Iterable[int]) -> None:
     await asyncio.gather(*(fleet.start_daemon(number) for number in numbers))
 
 
@@ -91,11 +95,11 @@
 
 
 __all__ = [
-    "agreed",
-    "kill",
+    "is_converged",
+    "kill_daemons",
     "open_partitionable_fleet",
     "remove_instances",
-    "start",
-    "stored_ids",
-    "until",
+    "start_daemons",
+    "stored_member_ids",
+    "wait_until",
 ]
--- a/tests/members/test_cells.py
+++ b/tests/members/test_cells.py
@@ -1,4 +1,4 @@
-"""Large fleets are split into cells, small ones are one cell."""
+"""Tests of the split of large fleets into cells."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.virtual_time import in_virtual_loop
 
 
-def installation(engines: int, desks: int = 4) -> Installation:
-    known = Installation()
+def make_installation(engines: int, desks: int = 4) -> Installation:
+    installation = Installation()
     entries = [
         EndpointEntry(id=f"engine-{n}", service_name="engines", ready=True)
         for n in range(engines)
@@ -20,24 +20,27 @@
         EndpointEntry(id=f"desk-{n}", service_name="desk", ready=True)
         for n in range(desks)
     ]
-    known.adopt_endpoints(EndpointList(revision=1, endpoints=entries), "test")
-    return known
+    installation.adopt_endpoints(
+        EndpointList(revision=1, endpoints=entries), "test"
+    )
+    return installation
 
 
 class CellsTest(unittest.TestCase):
     @in_virtual_loop
     def test_small_fleet_is_one_cell(self):
-        cells = Cells(installation=installation(70), instance="entry-0")
+        cells = Cells(installation=make_installation(70), instance="entry-0")
         self.assertEqual(cells.count, 1)
         self.assertFalse(cells.spans_cells("engines"))
         self.assertTrue(cells.is_cell_endpoint("engine-5"))
         self.assertTrue(cells.is_cell_peer("entry-7"))
 
     @in_virtual_loop
-    def test_every_endpoint_is_in_the_cell_of_some_daemon(self):
-        known = installation(1000)
+    def test_most_endpoints_are_in_the_cell_of_some_daemon(self):
+        installation = make_installation(1000)
         fleet = [
-            Cells(installation=known, instance=f"entry-{n}") for n in range(100)
+            Cells(installation=installation, instance=f"entry-{n}")
+            for n in range(100)
         ]
         owned = set()
         for cells in fleet:
@@ -50,10 +53,12 @@
         self.assertGreater(len(owned), 900)
 
     @in_virtual_loop
-    def test_daemons_agree_on_who_is_near(self):
-        known = installation(1000)
+    def test_daemons_agree_on_cell_peers(self):
+        installation = make_installation(1000)
         fleet = {
-            f"entry-{n}": Cells(installation=known, instance=f"entry-{n}")
+            f"entry-{n}": Cells(
+                installation=installation, instance=f"entry-{n}"
+            )
             for n in range(40)
         }
         for name, cells in fleet.items():
@@ -63,15 +68,17 @@
                 )
 
     @in_virtual_loop
-    def test_cells_follow_the_endpoints(self):
-        known = installation(1000)
-        cells = Cells(installation=known, instance="entry-0")
+    def test_cell_count_follows_the_endpoint_count(self):
+        installation = make_installation(1000)
+        cells = Cells(installation=installation, instance="entry-0")
         before = cells.count
         few = [
             EndpointEntry(id=f"engine-{n}", service_name="engines")
             for n in range(20)
         ]
-        known.adopt_endpoints(EndpointList(revision=2, endpoints=few), "test")
+        installation.adopt_endpoints(
+            EndpointList(revision=2, endpoints=few), "test"
+        )
         self.assertGreater(before, 10)
         self.assertEqual(cells.count, 1)
 
--- a/tests/members/test_frames.py
+++ b/tests/members/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of peer frames under bad input, and of links to bad peers."""
+"""Tests of peer frames with malformed input and of failing peers."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 KEY = b"k" * 32
 HEADER_BYTES = 28
 CODES = {ResultCode.BAD_FRAME, ResultCode.BAD_SIGNATURE}
-fuzz = settings(derandomize=True, deadline=None, max_examples=300)
+fuzz_settings = settings(derandomize=True, deadline=None, max_examples=300)
 
 
 def read_all(data: bytes, *, key: bytes = KEY) -> list[Envelope]:
-    """Reads frames until the bytes end."""
+    """Reads frames until the end of the data."""
 
     async def scenario():
         stream = asyncio.StreamReader()
@@ -58,7 +58,7 @@
     return asyncio.run(scenario())
 
 
-def frames(*names: str) -> list[bytes]:
+def encode_frames(*names: str) -> list[bytes]:
     writer = FrameWriter(key=KEY)
     return [
         writer.encode(wrap_message(StateRequest(state_digest=name)))
@@ -67,22 +67,22 @@
 
 
 class FrameTest(unittest.TestCase):
-    def refused(self, data: bytes, **options: bytes) -> None:
+    def assert_rejected(self, data: bytes, **options: bytes) -> None:
         with self.assertRaises(FrameError) as caught:
             read_all(data, **options)
         self.assertIn(caught.exception.code, CODES)
 
-    @fuzz
+    @fuzz_settings
     @given(st.binary(max_size=200))
     def test_random_bytes(self, data):
         with contextlib.suppress(FrameError):
             self.assertEqual(read_all(data), [])
 
-    @fuzz
+    @fuzz_settings
     @given(st.integers(0, 10_000), st.integers(1, 255))
-    def test_changed_byte(self, place, change):
-        data = bytearray(b"".join(frames("a", "b")))
-        data[place % len(data)] ^= change
+    def test_changed_byte(self, position, mask):
+        data = bytearray(b"".join(encode_frames("a", "b")))
+        data[position % len(data)] ^= mask
         try:
             names = [
                 unwrap_message(e).state_digest for e in read_all(bytes(data))
@@ -90,21 +90,22 @@
         except FrameError as error:
             self.assertIn(error.code, CODES)
         else:
-            self.assertIn(names, [[], ["a"]])  # a longer length: cut short
+            # a larger length leaves the frame incomplete
+            self.assertIn(names, [[], ["a"]])
 
-    @fuzz
+    @fuzz_settings
     @given(st.integers(0, 10_000))
-    def test_signed_part_of_a_message(self, size):
+    def test_signed_truncated_message(self, size):
         envelope = wrap_message(Heartbeat(sender=Member(id="a"), heard=["b"]))
-        whole = FrameWriter(key=KEY).encode(envelope)[HEADER_BYTES:]
-        part = whole[: size % len(whole)]
-        self.refused(FrameWriter(key=KEY).encode_payload(part))
+        payload = FrameWriter(key=KEY).encode(envelope)[HEADER_BYTES:]
+        truncated = payload[: size % len(payload)]
+        self.assert_rejected(FrameWriter(key=KEY).encode_payload(truncated))
 
-    def test_signed_claims_of_two_billion_items(self):
+    def test_signed_oversized_item_counts(self):
         for data in malformed_messages.oversized_size_messages():
-            self.refused(FrameWriter(key=KEY).encode_payload(data))
+            self.assert_rejected(FrameWriter(key=KEY).encode_payload(data))
 
-    @fuzz
+    @fuzz_settings
     @given(st.binary(max_size=200))
     def test_signed_garbage(self, data):
         frame = FrameWriter(key=KEY).encode_payload(data)
@@ -113,19 +114,19 @@
         except FrameError as error:
             self.assertIn(error.code, CODES)
 
-    def test_message_without_a_body(self):
+    def test_envelope_without_exactly_one_message(self):
         for envelope in (Envelope(), Envelope(done=Done(), hello=Hello())):
             with self.assertRaises(FrameError):
                 unwrap_message(envelope)
 
-    def test_replay_gap_wrong_key_and_length(self):
-        first, second, third = frames("a", "b", "c")
+    def test_replayed_skipped_foreign_and_overlong_frames(self):
+        first, second, third = encode_frames("a", "b", "c")
         self.assertEqual(len(read_all(first + second + third)), 3)
-        self.refused(first + first)
-        self.refused(first + third)
-        self.refused(second)
-        self.refused(first, key=b"x" * 32)
-        self.refused(b"\xff" + first[1:])
+        self.assert_rejected(first + first)
+        self.assert_rejected(first + third)
+        self.assert_rejected(second)
+        self.assert_rejected(first, key=b"x" * 32)
+        self.assert_rejected(b"\xff" + first[1:])
 
 
 class LinkTest(unittest.TestCase):
@@ -163,7 +164,7 @@
 
         self.run_with_server(scenario)
 
-    def test_silent_stranger_is_dropped(self):
+    def test_connection_without_handshake_is_closed(self):
         async def scenario(server):
             reader, _ = await asyncio.open_connection("127.0.0.1", server.port)
             async with asyncio.timeout(5):
@@ -173,7 +174,7 @@
 
         self.run_with_server(scenario)
 
-    def test_server_closes_with_calls_under_way(self):
+    def test_server_closes_with_pending_calls(self):
         async def scenario(server):
             async with self.connect(server) as connection:
                 call = connection.call(StateRequest(), 1000)
@@ -253,7 +254,7 @@
 
         self.run_with_server(scenario)
 
-    def test_reconnecting_is_spread(self):
+    def test_reconnect_jitter_depends_on_the_seed(self):
         def delays(seed):
             link = PeerLink(
                 member=Member(id="b"),
--- a/tests/members/test_gossip.py
+++ b/tests/members/test_gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between entry daemons, direct and by relays."""
+"""Tests of datagrams between entry daemons, direct and through relays."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class Node:
-    """A node and what it heard."""
+    """A gossip node and the messages that it received."""
 
     def __init__(self, name: str, zone: str, port: int):
-        self.heard: list[tuple[str, Gossip]] = []
+        self.received: list[tuple[str, Gossip]] = []
         self.node = GossipNode(
             local_record=DaemonRecord(
                 instance=name, zone=zone, host="127.0.0.1", port=port
@@ -34,27 +34,27 @@
             incarnation=1,
             fill_state=lambda message: None,
             list_work=list,
-            on_gossip=self._note,
+            on_gossip=self._record,
             is_reader=lambda: False,
         )
         self.node.key = KEY
         self.sent = 0
 
-    def _note(self, peer, message):
-        self.heard.append((peer.record.instance, message))
+    def _record(self, peer, message):
+        self.received.append((peer.record.instance, message))
 
-    def heard_ended(self, sender: str) -> list[int]:
+    def received_ended(self, sender: str) -> list[int]:
         return sorted(
             number
-            for name, message in self.heard
+            for name, message in self.received
             if name == sender
             for number in message.ended
         )
 
-    def heard_items(self, sender: str) -> list[int]:
+    def received_items(self, sender: str) -> list[int]:
         return [
             item.id
-            for name, message in self.heard
+            for name, message in self.received
             if name == sender
             for item in message.items
         ]
@@ -74,7 +74,7 @@
                 if other is not node:
                     node.node.add_peer(other.node.local_record)
         for node in nodes:
-            node.node.send_state()  # directly, so that all are known as live
+            node.node.send_state()  # sent without relays, makes nodes live
         await wait_until(
             lambda: all(
                 len(n.node.live_peers()) == len(nodes) - 1 for n in nodes
@@ -83,7 +83,7 @@
         yield nodes
 
 
-def frame(sender: str, incarnation: int, sequence: int) -> bytes:
+def make_frame(sender: str, incarnation: int, sequence: int) -> bytes:
     message = Gossip(
         sender=sender,
         incarnation=incarnation,
@@ -100,27 +100,28 @@
         async with open_nodes({"a": 2, "b": 1}) as nodes:
             nodes[0].node.send_started_work([WorkItem(id=7)])
             await wait_until(
-                lambda: all(n.heard_items("a-0") == [7] for n in nodes[1:])
+                lambda: all(n.received_items("a-0") == [7] for n in nodes[1:])
             )
 
-    async def test_many_daemons_hear_by_one_relay_in_each_zone(self):
+    async def test_many_daemons_receive_through_one_relay_per_zone(self):
         zones = {"a": 8, "b": 8, "c": 4}
         async with open_nodes(zones) as nodes:
             await asyncio.sleep(RELAY_REFRESH_INTERVAL_S)
             sender = nodes[3].node
-            counted = _count_datagrams(sender)
+            datagram_count = _count_datagrams(sender)
             sender.send_started_work([WorkItem(id=7)])
-            self.assertLessEqual(counted(), len(zones))
+            self.assertLessEqual(datagram_count(), len(zones))
             others = [n for n in nodes if n.node is not sender]
             await wait_until(
                 lambda: all(
-                    n.heard_items(sender.local_record.instance) for n in others
+                    n.received_items(sender.local_record.instance)
+                    for n in others
                 )
             )
             await asyncio.sleep(0.1)
             for other in others:
                 self.assertEqual(
-                    other.heard_items(sender.local_record.instance), [7]
+                    other.received_items(sender.local_record.instance), [7]
                 )
 
     async def test_zone_without_a_live_daemon_is_sent_to_directly(self):
@@ -128,37 +129,45 @@
             sender = nodes[0].node
             for peer in sender.peers.values():
                 if peer.record.zone == "b":
-                    peer.last_received_at = None  # its relay cannot be known
+                    peer.last_received_at = None  # no live peer, so no relay
             sender.send_started_work([WorkItem(id=7)])
             await wait_until(
-                lambda: all(n.heard_items("a-0") == [7] for n in nodes[18:])
+                lambda: all(n.received_items("a-0") == [7] for n in nodes[18:])
             )
 
-    async def test_work_of_a_cell_is_told_there_only(self):
+    async def test_work_of_a_cell_is_sent_to_that_cell_only(self):
         async with open_nodes({"a": 4}) as nodes:
-            _split(nodes)
-            sender, far, near, _ = nodes
+            _split_into_cells(nodes)
+            sender, other_cell_peer, cell_peer, _ = nodes
             sender.node.send_started_work([WorkItem(id=7)], to_all_cells=False)
             sender.node.send_started_work([WorkItem(id=8)], to_all_cells=True)
             sender.node.schedule_ended_work([7], to_all_cells=False)
             sender.node.schedule_ended_work([8], to_all_cells=True)
-            await wait_until(lambda: near.heard_ended("a-0") == [7, 8])
-            await wait_until(lambda: far.heard_ended("a-0") == [8])
-            self.assertEqual(near.heard_items("a-0"), [7, 8])
-            self.assertEqual(far.heard_items("a-0"), [8])
+            await wait_until(lambda: cell_peer.received_ended("a-0") == [7, 8])
+            await wait_until(
+                lambda: other_cell_peer.received_ended("a-0") == [8]
+            )
+            self.assertEqual(cell_peer.received_items("a-0"), [7, 8])
+            self.assertEqual(other_cell_peer.received_items("a-0"), [8])
 
     async def test_heartbeats_with_all_work_go_to_the_cell(self):
         async with open_nodes({"a": 4}) as nodes:
-            _split(nodes)
-            sender, far, near, _ = nodes
+            _split_into_cells(nodes)
+            sender, other_cell_peer, cell_peer, _ = nodes
             sender.node.list_work = lambda: [WorkItem(id=7)]
             running = asyncio.create_task(sender.node.run())
-            await wait_until(lambda: near.heard_items("a-0").count(7) >= 2)
+            await wait_until(
+                lambda: cell_peer.received_items("a-0").count(7) >= 2
+            )
             running.cancel()
-            self.assertEqual(far.heard_items("a-0"), [])
-            beats = [m for name, m in far.heard if name == "a-0"]
-            self.assertGreaterEqual(len(beats), 2)  # it is known to be live
-            self.assertFalse(any(m.complete for m in beats))
+            self.assertEqual(other_cell_peer.received_items("a-0"), [])
+            heartbeats = [
+                m for name, m in other_cell_peer.received if name == "a-0"
+            ]
+            self.assertGreaterEqual(
+                len(heartbeats), 2
+            )  # heartbeats still show that it is live
+            self.assertFalse(any(m.complete for m in heartbeats))
 
     async def test_old_and_repeated_datagrams_are_dropped(self):
         node = Node("me", "a", free_port())
@@ -171,28 +180,28 @@
             (3, 1),
         ):
             node.node.datagram_received(
-                frame("peer", incarnation, sequence), ("127.0.0.1", 1)
+                make_frame("peer", incarnation, sequence), ("127.0.0.1", 1)
             )
-        heard = [(m.incarnation, m.sequence) for _, m in node.heard]
-        self.assertEqual(heard, [(2, 5), (2, 6), (3, 1)])
+        received = [(m.incarnation, m.sequence) for _, m in node.received]
+        self.assertEqual(received, [(2, 5), (2, 6), (3, 1)])
 
     async def test_forged_datagram_changes_nothing(self):
         node = Node("me", "a", free_port())
-        forged = bytearray(frame("peer", 1, 1))
+        forged = bytearray(make_frame("peer", 1, 1))
         forged[-1] ^= 1
         node.node.datagram_received(bytes(forged), ("127.0.0.1", 1))
         node.node.datagram_received(b"", ("127.0.0.1", 1))
-        self.assertEqual(node.heard, [])
+        self.assertEqual(node.received, [])
         self.assertEqual(node.node.peers, {})
 
-    def test_heartbeats_that_a_daemon_gets_are_bounded(self):
+    def test_received_heartbeats_are_bounded(self):
         for peers in (8, 68, 410):
             interval_s = gossip.heartbeat_interval_s(peers)
             self.assertLessEqual(peers / interval_s, 40)
 
 
-def _split(nodes: list[Node]) -> None:
-    """Puts every other node into one of two cells."""
+def _split_into_cells(nodes: list[Node]) -> None:
+    """Assigns the nodes to two cells alternately."""
     names = [node.node.local_record.instance for node in nodes]
     for number, node in enumerate(nodes):
         node.node.is_cell_peer = set(names[number % 2 :: 2]).__contains__
--- a/tests/members/test_message_validation.py
+++ b/tests/members/test_message_validation.py
@@ -1,4 +1,4 @@
-"""Messages are checked before they are decoded."""
+"""Tests of the validation of messages before decoding."""
 
 from __future__ import annotations
 
@@ -21,60 +21,60 @@
 )
 from tests.members import malformed_messages
 
-fuzz = settings(derandomize=True, deadline=None, max_examples=300)
+fuzz_settings = settings(derandomize=True, deadline=None, max_examples=300)
 
 
-def encoded(message):
+def encode(message):
     return serialize(message, TBinaryProtocolFactory())
 
 
-def a_frame():
+def encoded_frame():
     item = WorkItem(id=3, endpoint="e", helpers=["x", "y"], read_ms=1.5)
     changes = ConfigChanges(removed=["r"])
     message = Gossip(
         sender="a", items=[item], ended=[1, 2], config_changes=changes
     )
-    return encoded(GossipFrame(messages=[message, message], relay=True))
+    return encode(GossipFrame(messages=[message, message], relay=True))
 
 
 class MessageValidationTest(unittest.TestCase):
-    def test_whole_messages(self):
+    def test_complete_messages(self):
         for message in (GossipFrame(), Gossip(sender="a")):
-            validate_message(encoded(message))
-        validate_message(a_frame())
+            validate_message(encode(message))
+        validate_message(encoded_frame())
 
-    def test_every_part_of_a_message_is_cut_short(self):
-        whole = a_frame()
+    def test_truncated_messages(self):
+        whole = encoded_frame()
         for size in range(len(whole)):
             with self.assertRaises(MalformedMessageError):
                 validate_message(whole[:size])
 
-    def test_huge_claims(self):
+    def test_oversized_item_counts(self):
         for data in malformed_messages.oversized_size_messages():
             with self.assertRaises(MalformedMessageError, msg=data[:20]):
                 validate_message(data)
 
     def test_negative_sizes(self):
         for data in (
-            malformed_messages.list_of(8, -1),
-            malformed_messages.map_of(8, 8, -5),
+            malformed_messages.encode_list(8, -1),
+            malformed_messages.encode_map(8, 8, -5),
         ):
             with self.assertRaises(MalformedMessageError):
                 validate_message(data)
 
-    @fuzz
+    @fuzz_settings
     @given(st.binary(max_size=300))
-    def test_any_bytes(self, data):
+    def test_random_bytes(self, data):
         try:
             validate_message(data)
         except MalformedMessageError as error:
             self.assertTrue(str(error))
 
-    @fuzz
+    @fuzz_settings
     @given(st.integers(min_value=0), st.integers(1, 255))
-    def test_one_changed_byte(self, place, change):
-        data = bytearray(a_frame())
-        data[place % len(data)] ^= change
+    def test_one_changed_byte(self, position, mask):
+        data = bytearray(encoded_frame())
+        data[position % len(data)] ^= mask
         try:
             validate_message(bytes(data))
         except MalformedMessageError as error:
--- a/tests/members/test_ownership_leases.py
+++ b/tests/members/test_ownership_leases.py
@@ -1,4 +1,4 @@
-"""Tests of strict rights in a whole fleet, in virtual time."""
+"""Tests of ownership leases in a whole fleet, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     LeaseOverlapChecker,
 )
 from tests.members.partitionable_fleet import (
-    agreed,
+    is_converged,
     open_partitionable_fleet,
-    until,
+    wait_until,
 )
 from tests.virtual_time import run_virtual
 
@@ -29,7 +29,7 @@
 LEASE_S = 3.0
 REMOVAL_S = 10.0
 STEPS = 60
-LONGEST_STEP_S = 12.0
+MAX_STEP_S = 12.0
 ENDPOINT = "engine-0"
 
 
@@ -44,122 +44,122 @@
     return run_virtual(opened, FreezableLoop)
 
 
-async def settled(watch: LeaseOverlapChecker) -> int:
-    """Waits until the endpoint has a strict owner; returns its number."""
-    await until(lambda: bool(watch.holders(ENDPOINT)), 60)
-    [instance] = watch.holders(ENDPOINT)
+async def wait_for_owner(checker: LeaseOverlapChecker) -> int:
+    """Waits until a daemon holds the lease; returns its number."""
+    await wait_until(lambda: bool(checker.holders(ENDPOINT)), 60)
+    [instance] = checker.holders(ENDPOINT)
     return int(instance.removeprefix("entry-"))
 
 
 class OwnershipLeasesTest(unittest.TestCase):
-    def test_rights_come_after_one_wait_at_the_first_start(self):
+    def test_lease_starts_after_one_wait_at_the_first_start(self):
         async def scenario(fleet, network):
-            await settled(LeaseOverlapChecker(fleet))
+            await wait_for_owner(LeaseOverlapChecker(fleet))
             return monotonic_s()
 
         self.assertLess(run(scenario), LEASE_S + RESERVATION_TTL_S + 1)
 
-    def test_joining_owner_waits_for_its_predecessors_grants_only(self):
+    def test_joining_owner_waits_only_for_its_predecessors_grants(self):
         async def scenario(fleet, network):
-            watch = LeaseOverlapChecker(fleet)
-            await settled(watch)
+            checker = LeaseOverlapChecker(fleet)
+            await wait_for_owner(checker)
             await asyncio.sleep(10)
-            before = watch.holders(ENDPOINT)
+            before = checker.holders(ENDPOINT)
             number = 1
-            while watch.holders(ENDPOINT) == before:
+            while checker.holders(ENDPOINT) == before:
                 self.assertLess(number, 9)
                 await fleet.start_daemon(number)
                 await asyncio.sleep(0.5)
                 number += 1
             moved_at = monotonic_s()
-            await settled(watch)
+            await wait_for_owner(checker)
             return monotonic_s() - moved_at
 
         self.assertLess(run(scenario, daemons=1), RESERVATION_TTL_S + 0.5)
 
     def test_successor_of_a_killed_owner_waits(self):
         async def scenario(fleet, network):
-            watch = LeaseOverlapChecker(fleet)
-            fleet.kill_daemon(await settled(watch))
+            checker = LeaseOverlapChecker(fleet)
+            fleet.kill_daemon(await wait_for_owner(checker))
             killed_at = monotonic_s()
-            await settled(watch)
+            await wait_for_owner(checker)
             return monotonic_s() - killed_at
 
         took_s = run(scenario)
         self.assertGreater(took_s, REMOVAL_S + LEASE_S + RESERVATION_TTL_S - 1)
         self.assertLess(took_s, REMOVAL_S + LEASE_S + RESERVATION_TTL_S + 1.5)
 
-    def test_successor_of_a_leaving_owner_waits_for_its_grants_only(self):
+    def test_successor_of_a_leaving_owner_waits_only_for_its_grants(self):
         async def scenario(fleet, network):
-            watch = LeaseOverlapChecker(fleet)
-            number = await settled(watch)
+            checker = LeaseOverlapChecker(fleet)
+            number = await wait_for_owner(checker)
             await asyncio.sleep(10)
             stop = asyncio.create_task(fleet.stop_daemon(number))
-            await until(lambda: not watch.holders(ENDPOINT), 5)
-            given_up_at = monotonic_s()
-            await settled(watch)
+            await wait_until(lambda: not checker.holders(ENDPOINT), 5)
+            released_at = monotonic_s()
+            await wait_for_owner(checker)
             await stop
-            return monotonic_s() - given_up_at
+            return monotonic_s() - released_at
 
         took_s = run(scenario)
         self.assertGreater(took_s, RESERVATION_TTL_S - 0.1)
         self.assertLess(took_s, RESERVATION_TTL_S + 1)
 
-    def test_thawed_owner_has_no_rights(self):
+    def test_thawed_owner_has_no_lease(self):
         async def scenario(fleet, network):
-            watch = LeaseOverlapChecker(fleet)
-            number = await settled(watch)
+            checker = LeaseOverlapChecker(fleet)
+            number = await wait_for_owner(checker)
             daemon = fleet.daemons[f"entry-{number}"]
             fleet.freeze_daemon(number)
-            watch.frozen.add(f"entry-{number}")
+            checker.frozen.add(f"entry-{number}")
             await asyncio.sleep(LEASE_S)
             self.assertFalse(daemon.ownership_leases.holds_lease(ENDPOINT))
-            await settled(watch)
+            await wait_for_owner(checker)
             fleet.thaw_daemon(number)
-            watch.frozen.clear()
+            checker.frozen.clear()
             for _ in range(100):
-                watch.sample()
+                checker.sample()
                 await asyncio.sleep(0.01)
-            await until(lambda: agreed(fleet), 20)
+            await wait_until(lambda: is_converged(fleet), 20)
 
         run(scenario)
 
-    def test_minority_owner_loses_its_rights_within_the_lease(self):
+    def test_minority_owner_loses_its_lease_within_the_lease_time(self):
         async def scenario(fleet, network):
-            watch = LeaseOverlapChecker(fleet)
-            name = f"entry-{await settled(watch)}"
-            network.cut([name], set(fleet.daemons) - {name})
+            checker = LeaseOverlapChecker(fleet)
+            name = f"entry-{await wait_for_owner(checker)}"
+            network.partition([name], set(fleet.daemons) - {name})
             await asyncio.sleep(LEASE_S)
-            self.assertNotIn(name, watch.holders(ENDPOINT))
+            self.assertNotIn(name, checker.holders(ENDPOINT))
 
         run(scenario)
 
-    def test_rights_never_overlap_in_random_runs(self):
-        changes = [run(_Disorder(seed).run) for seed in (1, 2)]
-        self.assertGreater(min(changes), 5)  # the runs moved ownership
+    def test_leases_never_overlap_in_random_runs(self):
+        changes = [run(_RandomFaults(seed).run) for seed in (1, 2)]
+        self.assertGreater(min(changes), 5)  # ownership moved in every run
 
 
-class _Disorder:
-    """Freezes, kills, stops, starts and cuts daemons at random."""
+class _RandomFaults:
+    """Freezes, kills, stops, starts and partitions daemons at random."""
 
     def __init__(self, seed: int) -> None:
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.next_number = 5
 
     async def run(self, fleet: Fleet, network: PartitionableNetwork) -> int:
         self.fleet, self.network = fleet, network
-        self.watch = LeaseOverlapChecker(fleet)
-        watching = asyncio.create_task(self.watch.run())
+        self.checker = LeaseOverlapChecker(fleet)
+        checking = asyncio.create_task(self.checker.run())
         for _ in range(STEPS):
             await self.step()
-            await asyncio.sleep(self.random.uniform(0, LONGEST_STEP_S))
-            if watching.done():
-                await watching
-        watching.cancel()
+            await asyncio.sleep(self.rng.uniform(0, MAX_STEP_S))
+            if checking.done():
+                await checking
+        checking.cancel()
         await self.thaw()
         await self.heal()
         fleet.platform.outage = False
-        return self.watch.changes
+        return self.checker.changes
 
     async def step(self) -> None:
         actions = [
@@ -168,47 +168,47 @@
             self.kill,
             self.replace,
             self.restart,
-            self.cut,
+            self.partition,
             self.heal,
             self.toggle_outage,
         ]
-        await self.random.choice(actions)()
+        await self.rng.choice(actions)()
 
-    def pick(self) -> int | None:
-        """Returns a daemon that can be spared, if there is one."""
-        active = sorted(set(self.fleet.daemons) - self.watch.frozen)
+    def pick_active(self) -> int | None:
+        """Returns a random active daemon, None if fewer than 4 are active."""
+        active = sorted(set(self.fleet.daemons) - self.checker.frozen)
         if len(active) < 4:
             return None
-        return int(self.random.choice(active).removeprefix("entry-"))
+        return int(self.rng.choice(active).removeprefix("entry-"))
 
     async def freeze(self) -> None:
-        number = self.pick()
+        number = self.pick_active()
         if number is not None:
             self.fleet.freeze_daemon(number)
-            self.watch.frozen.add(f"entry-{number}")
+            self.checker.frozen.add(f"entry-{number}")
 
     async def thaw(self) -> None:
-        for instance in sorted(self.watch.frozen):
+        for instance in sorted(self.checker.frozen):
             self.fleet.thaw_daemon(int(instance.removeprefix("entry-")))
-        self.watch.frozen.clear()
-        self.watch.sample()
+        self.checker.frozen.clear()
+        self.checker.sample()
 
     async def kill(self) -> None:
-        number = self.pick()
+        number = self.pick_active()
         if number is not None:
             self.fleet.kill_daemon(number)
             self.fleet.platform.instances.remove(f"entry-{number}")
             await self.start()
 
     async def replace(self) -> None:
-        number = self.pick()
+        number = self.pick_active()
         if number is not None:
             await self.fleet.stop_daemon(number)
             self.fleet.platform.instances.remove(f"entry-{number}")
             await self.start()
 
     async def restart(self) -> None:
-        number = self.pick()
+        number = self.pick_active()
         if number is not None:
             self.fleet.kill_daemon(number)
             await self.fleet.start_daemon(number)
@@ -217,11 +217,11 @@
         await self.fleet.start_daemon(self.next_number)
         self.next_number += 1
 
-    async def cut(self) -> None:
-        number = self.pick()
+    async def partition(self) -> None:
+        number = self.pick_active()
         if number is not None:
             name = f"entry-{number}"
-            self.network.cut([name], set(self.fleet.daemons) - {name})
+            self.network.partition([name], set(self.fleet.daemons) - {name})
 
     async def heal(self) -> None:
         self.network.heal()
--- a/tests/members/test_signed_frames.py
+++ b/tests/members/test_signed_frames.py
@@ -1,4 +1,4 @@
-"""Signed frames: strange and forged ones are rejected."""
+"""Tests of signed frames with malformed and forged input."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 KEY = b"k" * 32
 PLAIN = b"\0"
-fuzz = settings(derandomize=True, deadline=None, max_examples=300)
+fuzz_settings = settings(derandomize=True, deadline=None, max_examples=300)
 
 
 def sign(message: bytes) -> bytes:
@@ -35,36 +35,36 @@
             decode_signed(KEY, encode_signed(KEY, sent), Gossip()), sent
         )
 
-    def test_other_key(self):
+    def test_wrong_key(self):
         with self.assertRaises(SignedFrameError):
             decode_signed(
                 b"x" * 32, encode_signed(KEY, Gossip(sender="a")), Gossip()
             )
 
-    @fuzz
+    @fuzz_settings
     @given(st.binary(max_size=200))
-    def test_any_bytes(self, data):
+    def test_random_bytes(self, data):
         with self.assertRaises(SignedFrameError):
             decode_signed(KEY, data, Gossip())
 
-    @fuzz
+    @fuzz_settings
     @given(st.binary(max_size=200))
     def test_signed_garbage(self, data):
         with contextlib.suppress(SignedFrameError):
             decode_signed(KEY, sign(data), Gossip())
 
-    def test_signed_claims_of_two_billion_items(self):
+    def test_signed_oversized_item_counts(self):
         for data in malformed_messages.oversized_size_messages():
             with self.assertRaises(SignedFrameError):
                 decode_signed(KEY, sign(data), Gossip())
 
-    @fuzz
+    @fuzz_settings
     @given(st.integers(min_value=0, max_value=300), st.integers(1, 255))
-    def test_one_changed_byte(self, place, change):
+    def test_one_changed_byte(self, position, mask):
         frame = bytearray(
             encode_signed(KEY, Gossip(sender="a", host="10.0.0.1"))
         )
-        frame[place % len(frame)] ^= change
+        frame[position % len(frame)] ^= mask
         with self.assertRaises(SignedFrameError):
             decode_signed(KEY, bytes(frame), Gossip())
 
