--- a/src/auburnswitch/members/ownership_leases.py
+++ b/src/auburnswitch/members/ownership_leases.py
@@ -2,7 +2,7 @@
 
 The lease allows work on a cold or unknown endpoint and orders to an engine. At
 most one daemon holds an endpoint's lease at any time; docs/MEMBERSHIP.md has
-the proof.
+the argument.
 """
 
 from __future__ import annotations
--- a/tests/members/test_hash_ring.py
+++ b/tests/members/test_hash_ring.py
@@ -15,24 +15,24 @@
 
 class HashRingTest(unittest.TestCase):
     def test_no_members(self):
-        self.assertEqual(HashRing(member_names=[]).owner("a"), "")
+        self.assertEqual(HashRing(members=[]).owner("a"), "")
 
     def test_any_order_of_members_gives_the_same_owners(self):
-        ring = HashRing(member_names=member_names(20))
-        other = HashRing(member_names=reversed(member_names(20)))
+        ring = HashRing(members=member_names(20))
+        other = HashRing(members=reversed(member_names(20)))
         for name in NAMES:
             self.assertEqual(ring.owner(name), other.owner(name))
 
     def test_names_are_spread(self):
-        ring = HashRing(member_names=member_names(20))
+        ring = HashRing(members=member_names(20))
         owned = [ring.owner(name) for name in NAMES]
         counts = [owned.count(member) for member in member_names(20)]
         self.assertGreater(min(counts), 10)
         self.assertLess(max(counts), 150)
 
     def test_only_names_of_a_member_that_leaves_move(self):
-        before = HashRing(member_names=member_names(20))
-        after = HashRing(member_names=member_names(19))
+        before = HashRing(members=member_names(20))
+        after = HashRing(members=member_names(19))
         for name in NAMES:
             if before.owner(name) != "entry-19":
                 self.assertEqual(after.owner(name), before.owner(name))
