--- a/tests/routing/test_team_limits.py
+++ b/tests/routing/test_team_limits.py
@@ -61,7 +61,7 @@
                     limits.fill_heartbeat(heartbeat, peer.view.local_member.id)
                     peer.on_heartbeat(heartbeat)
                     status = peer.view.peers[sender.id]
-                    status.heard_at = asyncio.get_running_loop().time()
+                    status.last_received_at = asyncio.get_running_loop().time()
             await asyncio.sleep(INTERVAL_S)
 
 
