--- a/src/auburnswitch/configuration/__init__.py
+++ b/src/auburnswitch/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""What operators configure, and the version in force."""
+"""Configuration by operators and the version in force."""
 
 from __future__ import annotations
--- a/src/auburnswitch/configuration/config_diff.py
+++ b/src/auburnswitch/configuration/config_diff.py
@@ -14,10 +14,10 @@
 def diff_configs(
     old: InstallationConfig, new: InstallationConfig
 ) -> ConfigChanges | None:
-    """Returns what leads from one version to another.
+    """Returns the changes from one version to another.
 
     Returns:
-        The changes; None if routes cannot be told apart by their names.
+        The changes; None if the names of routes are not unique.
     """
     before = {route.name: route for route in old.routes}
     after = {route.name: route for route in new.routes}
@@ -37,7 +37,7 @@
 def apply_config_changes(
     old: InstallationConfig, changes: ConfigChanges
 ) -> InstallationConfig:
-    """Returns the version that changes lead to."""
+    """Returns the version that results from applying changes."""
     routes = {route.name: route for route in old.routes}
     for name in changes.removed:
         routes.pop(name, None)
--- a/src/auburnswitch/configuration/installation.py
+++ b/src/auburnswitch/configuration/installation.py
@@ -1,4 +1,4 @@
-"""What the daemon knows of its installation: configuration and endpoints."""
+"""State of the installation: its configuration and endpoints."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class RouteTable:
-    """Finds the route, the service and the team of a request.
+    """Looks up the route, the service and the team of a request.
 
     Attributes:
-        config: The configuration that the table is made from.
+        config: Configuration that the table is built from.
     """
 
     __slots__ = ("_by_host", "_services", "_teams", "config")
@@ -53,7 +53,7 @@
         }
 
     def route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix of a path."""
+        """Returns the route with the longest prefix that matches a path."""
         by_prefix = self._by_host.get(host)
         if by_prefix is None:
             return None
@@ -66,7 +66,7 @@
         return None
 
     def service(self, name: str) -> Service | None:
-        """Returns the service of a name."""
+        """Returns the service with a name."""
         return self._services.get(name)
 
     def team(self, caller_key: str) -> CallerTeam | None:
@@ -74,7 +74,7 @@
         return self._teams.get(caller_key)
 
     def choose_service(self, route: Route, rng: random.Random) -> str:
-        """Draws a service by the weights of a route."""
+        """Chooses a service at random by weight; empty if all weights are 0."""
         shares = [share for share in route.shares if share.weight > 0]
         if not shares:
             return ""
@@ -85,13 +85,14 @@
 
 
 class KnownEndpoint:
-    """An endpoint and what has been heard of it.
+    """An endpoint with its newest entry and the times derived from it.
 
     Attributes:
-        entry: Its newest entry.
-        cold_until: Loop time until which it tolerates little load, in seconds.
-        removal_due_at: Loop time from which a missing entry counts as gone,
-            None while the entry is there.
+        entry: Newest entry of the endpoint.
+        cold_until: Loop time until which the endpoint is cold and tolerates
+            little load, in seconds.
+        removal_due_at: Loop time from which the endpoint counts as removed, in
+            seconds; None while its entry is present.
     """
 
     __slots__ = ("cold_until", "entry", "removal_due_at")
@@ -102,7 +103,7 @@
         self.removal_due_at: float | None = None
 
     def update(self, entry: EndpointEntry) -> None:
-        """Takes over a newer entry."""
+        """Applies a newer entry."""
         if entry.cold_s > 0:
             self.cold_until = monotonic_s() + entry.cold_s
         self.entry = entry
@@ -110,28 +111,29 @@
 
     @property
     def cold(self) -> bool:
-        """Whether it still tolerates only little load."""
+        """Whether the endpoint is cold and tolerates only little load."""
         return monotonic_s() < self.cold_until
 
 
 class Installation:
-    """The newest state known; older versions are never taken over.
+    """Newest known state of the installation; older versions are ignored.
 
     Attributes:
-        table: Routes of the configuration in force, None before the first.
+        table: Routes of the configuration in force, None before the first one.
         endpoints: Endpoints by id.
-        endpoints_revision: Revision of the store that they are as of.
+        endpoints_revision: Store revision of the endpoints, 0 before the first.
         closed_zones: Availability zones that get no new requests.
-        closed_zones_revision: Revision of the store that they are as of.
-        lapsed_grace_until: Loop time until which missing entries may come
-            back, as the store was away.
+        closed_zones_revision: Store revision of the closed zones.
+        lapsed_grace_until: Loop time until which endpoints without an entry
+            are kept, in seconds, as entries may come back after a store
+            outage.
         listeners: Called after each change that was read from the store, with
-            what has changed if that is known.
+            the differences if they are known.
     """
 
     __slots__ = (
         "_by_service",
-        "_grouped_at",
+        "_grouped_revision",
         "closed_zones",
         "closed_zones_revision",
         "endpoints",
@@ -146,7 +148,7 @@
         self.endpoints: dict[str, KnownEndpoint] = {}
         self.endpoints_revision = 0
         self._by_service: dict[str, list[KnownEndpoint]] = {}
-        self._grouped_at = 0
+        self._grouped_revision = 0
         self.closed_zones: frozenset[str] = frozenset()
         self.closed_zones_revision = 0
         self.lapsed_grace_until = 0.0
@@ -165,48 +167,50 @@
         return self.table is not None and self.endpoints_revision > 0
 
     def adopt_config(self, config: InstallationConfig, source: str) -> bool:
-        """Takes over a configuration if it is newer."""
+        """Adopts a configuration if it is newer."""
         if config.version <= self.config_version:
             return False
-        age = {"previous": self.config_version, "source": source}
+        log_fields = {"previous": self.config_version, "source": source}
         old = self.table.config if self.table else None
         self.table = RouteTable(config=config)
-        log_event(EventId.CONFIG_ADOPTED, version=config.version, **age)
+        log_event(EventId.CONFIG_ADOPTED, version=config.version, **log_fields)
         if source == STORE_SOURCE:
             changes = diff_configs(old, config) if old else None
             self._notify(source, changes)
         return True
 
-    def change_config(self, changes: ConfigChanges, source: str) -> bool:
-        """Takes over a newer version by what has changed since this one."""
-        known = self.table.config if self.table else None
-        if known is None or known.version != changes.since_version:
+    def adopt_config_changes(self, changes: ConfigChanges, source: str) -> bool:
+        """Adopts a newer version, given as changes to the version in force."""
+        current = self.table.config if self.table else None
+        if current is None or current.version != changes.since_version:
             return False
-        return self.adopt_config(apply_config_changes(known, changes), source)
+        return self.adopt_config(apply_config_changes(current, changes), source)
 
-    def adopt_endpoints(self, listed: EndpointList, source: str) -> bool:
-        """Takes over a whole list of endpoints if it is newer."""
-        if listed.revision <= self.endpoints_revision:
+    def adopt_endpoints(self, endpoint_list: EndpointList, source: str) -> bool:
+        """Adopts a whole list of endpoints if it is newer."""
+        if endpoint_list.revision <= self.endpoints_revision:
             return False
-        self.endpoints_revision = listed.revision
-        present = {entry.id for entry in listed.endpoints}
+        self.endpoints_revision = endpoint_list.revision
+        present = {entry.id for entry in endpoint_list.endpoints}
         if not self.endpoints:
-            self._adopt_first(listed, source)
-        for entry in listed.endpoints:
-            self._put(entry, source)
+            self._adopt_first(endpoint_list, source)
+        for entry in endpoint_list.endpoints:
+            self._adopt_entry(entry, source)
         for endpoint_id in self.endpoints.keys() - present:
             self._remove(endpoint_id, source)
         self._notify(source)
         return True
 
-    def change_endpoints(self, changes: EndpointChanges, source: str) -> bool:
-        """Takes over changes that go on from what is known."""
-        known = self.endpoints_revision
-        if not changes.since_revision <= known < changes.revision:
+    def adopt_endpoint_changes(
+        self, changes: EndpointChanges, source: str
+    ) -> bool:
+        """Adopts changes since the current revision or an earlier one."""
+        current = self.endpoints_revision
+        if not changes.since_revision <= current < changes.revision:
             return False
         self.endpoints_revision = changes.revision
         for entry in changes.changed:
-            self._put(entry, source)
+            self._adopt_entry(entry, source)
         for endpoint_id in changes.removed:
             self._remove(endpoint_id, source)
         if changes.changed or changes.removed:
@@ -214,7 +218,7 @@
         return True
 
     def adopt_closed_zones(self, closed: ClosedZones, source: str) -> bool:
-        """Takes over the closed zones if they are newer."""
+        """Adopts the closed zones if they are newer."""
         if closed.revision <= self.closed_zones_revision:
             return False
         self.closed_zones_revision = closed.revision
@@ -231,69 +235,70 @@
         return True
 
     def list_endpoints(self) -> EndpointList:
-        """Returns the entries as a peer may take them over."""
+        """Returns the present entries as a list that a peer can adopt."""
         now = monotonic_s()
         entries = []
-        for known in self.endpoints.values():
-            if known.removal_due_at is None:
-                known.entry.cold_s = max(0.0, known.cold_until - now)
-                entries.append(known.entry)
+        for endpoint in self.endpoints.values():
+            if endpoint.removal_due_at is None:
+                endpoint.entry.cold_s = max(0.0, endpoint.cold_until - now)
+                entries.append(endpoint.entry)
         return EndpointList(revision=self.endpoints_revision, endpoints=entries)
 
     def endpoints_of(self, service: str) -> list[KnownEndpoint]:
-        """Returns the endpoints of a service, open or not."""
-        if self._grouped_at != self.endpoints_revision:
-            self._grouped_at = self.endpoints_revision
+        """Returns all endpoints of a service, open or not."""
+        if self._grouped_revision != self.endpoints_revision:
+            self._grouped_revision = self.endpoints_revision
             self._by_service = {}
-            for known in self.endpoints.values():
-                name = known.entry.service_name
-                self._by_service.setdefault(name, []).append(known)
+            for endpoint in self.endpoints.values():
+                name = endpoint.entry.service_name
+                self._by_service.setdefault(name, []).append(endpoint)
         return self._by_service.get(service, [])
 
-    def is_open(self, known: KnownEndpoint) -> bool:
-        """Whether an endpoint may get new requests at this moment."""
-        if self.endpoints.get(known.entry.id) is not known:
+    def is_open(self, endpoint: KnownEndpoint) -> bool:
+        """Returns whether an endpoint may get new requests now."""
+        if self.endpoints.get(endpoint.entry.id) is not endpoint:
             return False
-        if not known.entry.ready or known.entry.zone in self.closed_zones:
+        if not endpoint.entry.ready or endpoint.entry.zone in self.closed_zones:
             return False
         return (
-            known.removal_due_at is None or monotonic_s() < known.removal_due_at
+            endpoint.removal_due_at is None
+            or monotonic_s() < endpoint.removal_due_at
         )
 
-    def _adopt_first(self, listed: EndpointList, source: str) -> None:
-        """Takes over a first list with one log line for all endpoints."""
-        for entry in listed.endpoints:
+    def _adopt_first(self, endpoint_list: EndpointList, source: str) -> None:
+        """Adopts the first list with a single log line for all endpoints."""
+        for entry in endpoint_list.endpoints:
             self.endpoints[entry.id] = KnownEndpoint(entry=entry)
         log_event(
             EventId.ENDPOINTS_ADOPTED,
-            endpoints=len(listed.endpoints),
-            revision=listed.revision,
+            endpoints=len(endpoint_list.endpoints),
+            revision=endpoint_list.revision,
             source=source,
         )
 
-    def _put(self, entry: EndpointEntry, source: str) -> None:
-        known = self.endpoints.get(entry.id)
-        if known is None:
+    def _adopt_entry(self, entry: EndpointEntry, source: str) -> None:
+        endpoint = self.endpoints.get(entry.id)
+        if endpoint is None:
             self.endpoints[entry.id] = KnownEndpoint(entry=entry)
             self._log_endpoint(entry, "added", source)
             return
-        if known.entry.ready != entry.ready:
+        if endpoint.entry.ready != entry.ready:
             self._log_endpoint(
                 entry, "ready" if entry.ready else "draining", source
             )
-        known.update(entry)
+        endpoint.update(entry)
 
     def _remove(self, endpoint_id: str, source: str) -> None:
-        known = self.endpoints.get(endpoint_id)
-        if known is None:
+        endpoint = self.endpoints.get(endpoint_id)
+        if endpoint is None:
             return
         if monotonic_s() < self.lapsed_grace_until:
-            known.removal_due_at = (
-                known.removal_due_at or self.lapsed_grace_until
+            endpoint.removal_due_at = (
+                endpoint.removal_due_at or self.lapsed_grace_until
             )
             return
         del self.endpoints[endpoint_id]
-        self._log_endpoint(known.entry, "removed", source)
+        self._log_endpoint(endpoint.entry, "removed", source)
 
     def _log_endpoint(
         self, entry: EndpointEntry, change: str, source: str
@@ -314,7 +319,7 @@
         changes: EndpointChanges | ConfigChanges | None = None,
     ) -> None:
         if source != STORE_SOURCE:
-            return  # the peer that read it tells the others itself
+            return  # the peer that read the store sends the change itself
         for listener in self.listeners:
             listener(changes)
 
--- a/src/auburnswitch/configuration/installation_watcher.py
+++ b/src/auburnswitch/configuration/installation_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the store's objects that describe the installation."""
+"""Watches the store's objects that describe the installation."""
 
 from __future__ import annotations
 
@@ -43,13 +43,14 @@
 
 
 class InstallationWatcher:
-    """Keeps the installation as new as the store.
+    """Keeps the installation up to date with the store.
 
     Attributes:
-        read_at: Loop time of the oldest of each kind's newest reads; None
-            while some kind has not been read.
-        is_reader: Whether this daemon reads the store at the moment.
-        failed_at: Loop time since which calls fail, None while they do not.
+        read_at: Loop time of the last read of the kind that was read least
+            recently, in seconds; None until every kind has been read.
+        is_reader: Returns whether this daemon has to read the store now.
+        failed_at: Loop time since which calls have failed, in seconds; None
+            while they succeed.
     """
 
     __slots__ = (
@@ -80,31 +81,31 @@
 
     @property
     def read_at(self) -> float | None:
-        """Loop time as of which all kinds are known, None before."""
+        """Loop time as of which all kinds are up to date, None before that."""
         if len(self._read_at) < len(WATCHED_KINDS):
             return None
         return min(self._read_at.values())
 
     async def watch_kind(self, kind: str) -> None:
-        """Lists a kind, then waits for its changes, again and again.
+        """Lists a kind, then watches it for changes, forever.
 
-        While calls fail, only one kind is tried, at growing intervals.
+        While calls fail, only the first kind is retried, at growing intervals.
         """
-        pause_s = INITIAL_RETRY_INTERVAL_S
+        retry_interval_s = INITIAL_RETRY_INTERVAL_S
         while True:
-            waits = self.failed_at is not None and kind != WATCHED_KINDS[0]
-            if waits or not self.is_reader():
-                self._revisions.pop(kind, None)  # may be too old to go on from
+            suspended = self.failed_at is not None and kind != WATCHED_KINDS[0]
+            if suspended or not self.is_reader():
+                self._revisions.pop(kind, None)  # may be too old to resume from
                 await asyncio.sleep(IDLE_INTERVAL_S)
             elif await self._read(kind):
-                pause_s = INITIAL_RETRY_INTERVAL_S
+                retry_interval_s = INITIAL_RETRY_INTERVAL_S
             else:
-                await asyncio.sleep(pause_s)
-                pause_s *= RETRY_BACKOFF_FACTOR
-                pause_s = min(pause_s, MAX_RETRY_INTERVAL_S)
+                await asyncio.sleep(retry_interval_s)
+                retry_interval_s *= RETRY_BACKOFF_FACTOR
+                retry_interval_s = min(retry_interval_s, MAX_RETRY_INTERVAL_S)
 
     async def _read(self, kind: str) -> bool:
-        """Makes one call and takes over what it says."""
+        """Makes one call and adopts its result."""
         revision = self._revisions.get(kind)
         if revision is None:
             answer = await self.store.list_kind(kind)
@@ -112,14 +113,14 @@
             answer = await self.store.watch(kind, revision)
         match answer:
             case StoreFailure(reason=reason):
-                self._note_failure(kind, reason)
+                self._record_failure(kind, reason)
                 self._revisions.pop(kind, None)
                 return False
             case RevisionExpired():
                 self._revisions.pop(kind, None)
                 return True
             case Listing():
-                self._note_success(kind)
+                self._record_success(kind)
         if revision is None:
             self._adopt_list(kind, answer)
         else:
@@ -127,12 +128,12 @@
         self._revisions[kind] = answer.revision
         return True
 
-    def _note_failure(self, kind: str, reason: str) -> None:
+    def _record_failure(self, kind: str, reason: str) -> None:
         if self.failed_at is None:
             self.failed_at = monotonic_s()
             log_event(EventId.STORE_UNAVAILABLE, kind=kind, reason=reason)
 
-    def _note_success(self, kind: str) -> None:
+    def _record_success(self, kind: str) -> None:
         self._read_at[kind] = monotonic_s()
         if self.failed_at is None:
             return
@@ -151,11 +152,11 @@
                 zones = [o.name for o in listing.objects if not o.deleted]
                 self._adopt_zones(listing.revision, zones)
             case protocol.ENDPOINTS_KIND:
-                entries, _ = _split(listing.objects)
-                listed = EndpointList(
+                entries, _ = _partition_entries(listing.objects)
+                endpoint_list = EndpointList(
                     revision=listing.revision, endpoints=entries
                 )
-                self.installation.adopt_endpoints(listed, STORE_SOURCE)
+                self.installation.adopt_endpoints(endpoint_list, STORE_SOURCE)
 
     def _adopt_changes(self, kind: str, changes: Listing) -> None:
         match kind:
@@ -170,15 +171,17 @@
                         zones.add(changed.name)
                 self._adopt_zones(changes.revision, sorted(zones))
             case protocol.ENDPOINTS_KIND:
-                entries, removed = _split(changes.objects)
+                entries, removed = _partition_entries(changes.objects)
                 since = self._revisions[kind]
-                made = EndpointChanges(
+                endpoint_changes = EndpointChanges(
                     since_revision=since,
                     revision=changes.revision,
                     changed=entries,
                     removed=removed,
                 )
-                self.installation.change_endpoints(made, STORE_SOURCE)
+                self.installation.adopt_endpoint_changes(
+                    endpoint_changes, STORE_SOURCE
+                )
 
     def _adopt_zones(self, revision: int, zones: list[str]) -> None:
         closed = ClosedZones(revision=revision, zones=zones)
@@ -196,10 +199,10 @@
             self.installation.adopt_config(config, STORE_SOURCE)
 
 
-def _split(
+def _partition_entries(
     objects: list[StoredObject],
 ) -> tuple[list[EndpointEntry], list[str]]:
-    """Returns the usable entries and the names of all others."""
+    """Returns the usable entries and the names of deleted or invalid ones."""
     entries, removed = [], []
     for stored in objects:
         if stored.deleted:
--- a/src/auburnswitch/configuration/state.py
+++ b/src/auburnswitch/configuration/state.py
@@ -27,7 +27,7 @@
 
 
 class ConfigState:
-    """Keeps, for each object, the change of the highest-numbered ticket.
+    """Keeps, for each object, the change with the highest ticket number.
 
     Joining tickets in any order, any number of times, gives the same state.
 
@@ -37,12 +37,12 @@
         zones: Availability zones in force, by name.
         services: Services in force, by name.
         endpoints: Endpoints in force, by name.
-        dangling_endpoints: What is wrong with each endpoint that is left out,
-            since its service or zone is not there, by the endpoint's name.
+        dangling_endpoints: Reason why an endpoint is left out, namely that its
+            service or zone is missing, by the endpoint's name.
         team_by_key_digest: Team name by caller-key digest.
         digest: Digest of the state; equal states have equal digests.
-        listeners: Called after each change of the state.
-        invariants: Where a state that reverts is reported.
+        listeners: Callbacks that run after each change of the state.
+        invariants: Reports a state that reverts to older changes.
     """
 
     __slots__ = (
@@ -72,17 +72,17 @@
         changed = [
             self._join(ticket.number, change) for change in ticket.changes
         ]
-        return self._finish(any(changed))
+        return self._finish_join(any(changed))
 
     def join_snapshot(self, snapshot: Snapshot) -> bool:
         """Joins a snapshot; returns whether the state changed."""
         changed = [
             self._join(entry.number, entry.change) for entry in snapshot.entries
         ]
-        return self._finish(any(changed))
+        return self._finish_join(any(changed))
 
     def has_joined(self, ticket: Ticket) -> bool:
-        """Tells whether a ticket, or later ones of its objects, is in force."""
+        """Returns whether a ticket or newer changes of its objects are joined."""
         keys = [(ObjectKind(c.kind), c.name) for c in ticket.changes]
         return all(
             self._joined_numbers.get(key, 0) >= ticket.number for key in keys
@@ -91,11 +91,11 @@
     def superseded_entries(self, ticket: Ticket) -> list[VersionedChange]:
         """Returns the entries that a ticket supersedes."""
         keys = [(ObjectKind(c.kind), c.name) for c in ticket.changes]
-        known = [self.entries[key] for key in keys if key in self.entries]
-        return [entry for entry in known if entry.number < ticket.number]
+        current = [self.entries[key] for key in keys if key in self.entries]
+        return [entry for entry in current if entry.number < ticket.number]
 
     def snapshot(self) -> Snapshot:
-        """Returns the whole state."""
+        """Returns the whole state as a snapshot."""
         entries = [self.entries[key] for key in sorted(self.entries)]
         return Snapshot(entries=entries)
 
@@ -108,18 +108,18 @@
         ]
 
     def endpoints_of(self, service: str) -> list[str]:
-        """Returns the names of a service's endpoints, in order."""
+        """Returns the names of a service's endpoints, sorted."""
         return self._by_service.get(service, [])
 
     def _join(self, number: int, change: Change) -> bool:
         key = (ObjectKind(change.kind), change.name)
-        known = self.entries.get(key)
-        if known is not None and known.number >= number:
+        current = self.entries.get(key)
+        if current is not None and current.number >= number:
             return False
         self.entries[key] = VersionedChange(number=number, change=change)
         return True
 
-    def _finish(self, changed: bool) -> bool:
+    def _finish_join(self, changed: bool) -> bool:
         if changed:
             self._check_monotonic()
             self._rebuild()
@@ -146,7 +146,7 @@
         self.endpoints: dict[str, Endpoint] = {}
         for entry in self.entries.values():
             self._apply(entry.change)
-        self._leave_out_dangling()
+        self._exclude_dangling()
         self.team_by_key_digest = {
             digest: name
             for name, team in self.teams.items()
@@ -158,7 +158,7 @@
             self._by_service.setdefault(service, []).append(name)
         self.digest = self._compute_digest()
 
-    def _leave_out_dangling(self) -> None:
+    def _exclude_dangling(self) -> None:
         self.dangling_endpoints: dict[str, str] = {}
         for name, endpoint in self.endpoints.items():
             if endpoint.service not in self.services:
@@ -194,7 +194,7 @@
 
 
 def ticket_digest(ticket: Ticket) -> str:
-    """Returns a digest of what the operator wrote in a ticket."""
+    """Returns a digest of the fields of a ticket that its author wrote."""
     body = to_json(ticket)
     for name in ("accepted_at", "operator", "before"):
         body.pop(name, None)
--- a/src/auburnswitch/configuration/ticket_poller.py
+++ b/src/auburnswitch/configuration/ticket_poller.py
@@ -1,4 +1,4 @@
-"""Folds published tickets into a snapshot and reads them regularly."""
+"""Polls published tickets and folds them into a snapshot."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class TicketPoller:
-    """Reads the published tickets again and again in one of the daemons.
+    """Polls the published tickets in one of the daemons.
 
-    So a ticket is found when watches miss it and the daemon that accepted it
-    is gone; the others learn it from their peers. When there are many, they
-    are folded into the snapshot.
+    Polling finds a ticket that watches miss after the daemon that accepted it
+    has terminated; the other daemons receive it from their peers. When there
+    are many published tickets, they are folded into the snapshot.
 
     Attributes:
-        store: The platform's store.
-        tickets: Joins what is read.
-        is_poller: Tells whether it is for this daemon to read.
+        store: Client of the platform's store.
+        tickets: Joins the tickets that are read.
+        is_poller: Returns whether this daemon has to poll.
     """
 
     __slots__ = ("is_poller", "store", "tickets")
@@ -50,7 +50,7 @@
         self.is_poller = is_poller
 
     async def run(self) -> None:
-        """Reads for ever."""
+        """Polls forever."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             if self.is_poller():
@@ -66,11 +66,11 @@
                     await self.compact(listing)
 
     async def compact(self, listing: Listing) -> bool:
-        """Folds tickets into the stored snapshot, then removes them.
+        """Folds tickets into the stored snapshot, then deletes them.
 
-        Only what the conditionally written snapshot holds is removed. A
-        ticket that is published later, with whatever number, is not in the
-        listing and stays for the next time.
+        Only tickets that the conditionally written snapshot includes are
+        deleted. A ticket that is published later, whatever its number, is not
+        in the listing and remains for the next compaction.
 
         Returns:
             Whether the snapshot was written.
@@ -90,7 +90,7 @@
             priority=CallPriority.BACKGROUND,
         )
         if put.is_error():
-            return False  # the next poll tries again
+            return False  # the next poll retries
         for item in listing.items:
             await self.store.delete(
                 item.key,
@@ -115,7 +115,7 @@
             included = max(included, ticket.number)
             state.join_ticket(ticket)
     except SchemaError:
-        return None  # nothing that can't be read is removed
+        return None  # keep tickets that cannot be decoded
     folded = state.snapshot()
     folded.included_through = included
     return folded
--- a/src/auburnswitch/configuration/tickets.py
+++ b/src/auburnswitch/configuration/tickets.py
@@ -1,9 +1,10 @@
 """Stores change tickets and reads them back.
 
-A ticket is kept for ever under its number, and its creation there decides
-which content the number has. It is then published where all daemons see it;
-published tickets are folded into a snapshot and removed. A ticket that is
-published again after that has the same content, and joining it has no effect.
+A ticket is stored permanently under its number; its creation there decides
+which content the number has. It is then published under a prefix that all
+daemons watch; published tickets are folded into a snapshot and deleted. A
+ticket that is published again after that has the same content, and joining it
+has no effect.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 def ticket_key(number: int) -> str:
-    """Returns the key under which a ticket is kept."""
+    """Returns the key under which a ticket is stored."""
     return f"{TICKETS_PREFIX}{number:010d}"
 
 
@@ -52,10 +53,10 @@
 
 
 class TicketStore:
-    """Accepts tickets into the store.
+    """Stores and publishes tickets and joins published ones into the state.
 
     Attributes:
-        store: The platform's store.
+        store: Client of the platform's store.
         state: The configuration in force.
     """
 
@@ -82,25 +83,26 @@
             log_event(EventId.STATE_CHANGED, digest=self.state.digest)
 
     async def accept(self, ticket: Ticket) -> Result[Ticket, Refusal]:
-        """Accepts a ticket: keeps it under its number and publishes it.
+        """Accepts a ticket: stores it under its number and publishes it.
 
-        The same ticket again is accepted, unchanged, and published again.
+        A ticket that is already stored with the same content is accepted
+        unchanged and published again.
 
         Returns:
-            The ticket as kept.
+            The ticket as stored.
         """
         ticket.before = self.state.superseded_entries(ticket)
         value = to_json(ticket)
         size_bytes = self.store.size_bytes(value)
         if size_bytes > self.store.settings.max_value_bytes:
             return Error(self._too_large(size_bytes))
-        match await self._keep(ticket, value, size_bytes):
-            case Result(tag="ok", ok=kept):
-                return await self._publish(kept)
+        match await self._store_ticket(ticket, value, size_bytes):
+            case Result(tag="ok", ok=stored):
+                return await self._publish(stored)
             case Result(error=refused):
                 return Error(refused)
 
-    async def _keep(
+    async def _store_ticket(
         self, ticket: Ticket, value: Any, size_bytes: int
     ) -> Result[Ticket, Refusal]:
         put = await self.store.put(
@@ -113,11 +115,11 @@
             case Result(tag="ok"):
                 return Ok(ticket)
             case Result(error=VersionConflict()):
-                return await self._compare_kept(ticket)
+                return await self._compare_stored(ticket)
             case Result(error=ValueTooLarge()):
                 return Error(self._too_large(size_bytes))
             case Result(error=StoreUnavailable(outcome_unknown=True)):
-                return await self._compare_kept(ticket)
+                return await self._compare_stored(ticket)
             case Result(error=error):
                 return Error(_unavailable(error, Ran.NO))
 
@@ -141,24 +143,26 @@
                 case Result(error=StoreUnavailable() as error):
                     continue
         refused = _unavailable(error, Ran.UNKNOWN)
-        refused.message += "; the ticket is kept: apply it again to publish it"
+        refused.message += (
+            "; the ticket is stored: apply it again to publish it"
+        )
         return Error(refused)
 
     async def read(self, number: int) -> Result[Ticket, Refusal]:
-        """Reads a kept ticket."""
+        """Reads a stored ticket."""
         match await self.store.get(
             ticket_key(number), priority=CallPriority.TICKET
         ):
             case Result(tag="ok", ok=None):
                 message = f"no ticket has number {number}"
                 return Error(refusal(ResultCode.TICKET_NOT_FOUND, message))
-            case Result(tag="ok", ok=stored):
-                return Ok(from_json(Ticket, stored.value))
+            case Result(tag="ok", ok=item):
+                return Ok(from_json(Ticket, item.value))
             case Result(error=error):
                 return Error(_unavailable(error, Ran.NO))
 
     async def list(self) -> Result[list[Ticket], Refusal]:
-        """Reads all kept tickets, in order of number."""
+        """Reads all stored tickets, sorted by number."""
         match await self.store.list(TICKETS_PREFIX):
             case Result(tag="ok", ok=listing):
                 items = [from_json(Ticket, i.value) for i in listing.items]
@@ -166,15 +170,15 @@
             case Result(error=error):
                 return Error(_unavailable(error, Ran.NO))
 
-    async def _compare_kept(self, ticket: Ticket) -> Result[Ticket, Refusal]:
+    async def _compare_stored(self, ticket: Ticket) -> Result[Ticket, Refusal]:
         match await self.read(ticket.number):
-            case Result(tag="ok", ok=kept):
-                if ticket_digest(kept) == ticket_digest(ticket):
-                    return Ok(kept)
+            case Result(tag="ok", ok=stored):
+                if ticket_digest(stored) == ticket_digest(ticket):
+                    return Ok(stored)
                 message = f"ticket {ticket.number} exists with other content"
                 return Error(refusal(ResultCode.TICKET_CONFLICT, message))
             case Result(error=error):
-                message = "the store gave no answer; apply the ticket again"
+                message = "the store did not respond; apply the ticket again"
                 return Error(
                     refusal(
                         ResultCode.STORE_UNAVAILABLE,
@@ -187,8 +191,9 @@
     def _too_large(self, size_bytes: int) -> Refusal:
         limit = self.store.settings.max_value_bytes
         message = (
-            f"the ticket and what its objects were before take {size_bytes} "
-            f"bytes, more than the {limit} bytes that a stored value can have"
+            f"the ticket and the previous versions of its objects take "
+            f"{size_bytes} bytes, more than the {limit} bytes allowed for a "
+            f"stored value"
         )
         return refusal(ResultCode.TICKET_TOO_LARGE, message)
 
--- a/src/auburnswitch/entry/entry_daemon.py
+++ b/src/auburnswitch/entry/entry_daemon.py
@@ -336,9 +336,11 @@
         for number in message.ended:
             self.fleet_load.remove(name, number)
         if message.changes is not None:
-            self.installation.change_endpoints(message.changes, f"peer {name}")
+            self.installation.adopt_endpoint_changes(
+                message.changes, f"peer {name}"
+            )
         if message.config_changes is not None:
-            self.installation.change_config(
+            self.installation.adopt_config_changes(
                 message.config_changes, f"peer {name}"
             )
         if self.state_exchange.is_behind(message):
--- a/src/auburnswitch/platform/__init__.py
+++ b/src/auburnswitch/platform/__init__.py
@@ -1,8 +1,7 @@
 """Adapter to the users' platform: its names, formats and calls.
 
-Nothing in this package decides. It decodes what the platform says into the
-types of ``auburnswitch.schema.installation`` and encodes what the entry daemon
-wants to say.
+This package contains no policy. It decodes the platform's data into the types
+of ``auburnswitch.schema.installation`` and encodes the entry daemon's calls.
 """
 
 from __future__ import annotations
--- a/src/auburnswitch/platform/config_decoder.py
+++ b/src/auburnswitch/platform/config_decoder.py
@@ -29,7 +29,7 @@
 
 
 def decode_config(data: Any) -> InstallationConfig:
-    """Decodes a whole configuration; fields it does not know are ignored.
+    """Decodes a whole configuration; unknown fields are ignored.
 
     Raises:
         FieldError: A field is missing or has a wrong type.
@@ -46,7 +46,7 @@
 def _route(data: Any) -> Route:
     kind = fields.text(data, "Kind")
     if kind not in _KINDS:
-        raise FieldError(f"Kind {kind!r} is not known")
+        raise FieldError(f"Kind {kind!r} is unknown")
     split = [
         TrafficShare(
             service_name=fields.text(item, "Service"),
@@ -108,34 +108,34 @@
 
 
 def _limits(data: dict[str, Any]) -> IngressLimits:
-    known = IngressLimits()
+    defaults = IngressLimits()
     return IngressLimits(
         max_header_bytes=fields.integer(
-            data, "MaxHeaderBytes", known.max_header_bytes
+            data, "MaxHeaderBytes", defaults.max_header_bytes
         ),
         max_body_bytes=fields.integer(
-            data, "MaxBodyBytes", known.max_body_bytes
+            data, "MaxBodyBytes", defaults.max_body_bytes
         ),
         header_timeout_s=fields.number(
-            data, "HeaderTimeoutMs", known.header_timeout_s * _MS_PER_S
+            data, "HeaderTimeoutMs", defaults.header_timeout_s * _MS_PER_S
         )
         / _MS_PER_S,
         idle_timeout_s=fields.number(
-            data, "IdleTimeoutMs", known.idle_timeout_s * _MS_PER_S
+            data, "IdleTimeoutMs", defaults.idle_timeout_s * _MS_PER_S
         )
         / _MS_PER_S,
     )
 
 
 def decode_endpoint(endpoint_id: str, data: Any) -> EndpointEntry:
-    """Decodes the entry of an endpoint.
+    """Decodes an endpoint's entry.
 
     Raises:
-        FieldError: A field is missing, or its type or value is not known.
+        FieldError: A field is missing, or its type or value is not supported.
     """
     state = fields.text(data, "State")
     if state not in _STATES:
-        raise FieldError(f"State {state!r} is not known")
+        raise FieldError(f"State {state!r} is unknown")
     host, port = split_address(fields.text(data, "Address"))
     return EndpointEntry(
         id=endpoint_id,
@@ -153,14 +153,14 @@
     """Splits an address of the form IP:PORT.
 
     Raises:
-        FieldError: It has another form.
+        FieldError: The address has another form.
     """
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host)
         return host, int(port)
     except ValueError as error:
-        raise FieldError(f"{address!r} is no IP address and port") from error
+        raise FieldError(f"{address!r} is not of the form IP:PORT") from error
 
 
 __all__ = ["decode_config", "decode_endpoint", "split_address"]
--- a/src/auburnswitch/platform/endpoint_client.py
+++ b/src/auburnswitch/platform/endpoint_client.py
@@ -1,4 +1,4 @@
-"""Calls endpoints: requests on behalf of callers, and memory reservations."""
+"""Sends callers' requests, reservations and load queries to endpoints."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     """No byte of the request reached the endpoint.
 
     Attributes:
-        reason: What happened.
+        reason: Description of the failure.
     """
 
     reason: str
@@ -48,11 +48,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class RequestNotExecuted:
-    """The endpoint says that it did not run the request.
+    """The endpoint reports that it did not run the request.
 
     Attributes:
-        status: Status of its answer.
-        failed_address: Address of the endpoint at fault, empty if not named.
+        status: HTTP status of the response.
+        failed_address: Address of the endpoint that failed, empty if unknown.
     """
 
     status: int
@@ -61,10 +61,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class BrokenResponse:
-    """The connection broke, or the answer is not one to this request.
+    """The connection broke, or the response is not for this request.
 
     Attributes:
-        reason: What happened.
+        reason: Description of the failure.
     """
 
     reason: str
@@ -72,12 +72,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class ResponseHead:
-    """Start of an endpoint's answer to this request.
+    """Head of an endpoint's response to this request.
 
     Attributes:
         status: HTTP status.
-        headers: Headers that are passed on to the caller.
-        exchange: Where the body is read from.
+        headers: Headers that are forwarded to the caller.
+        exchange: HTTP exchange from which the body is read.
     """
 
     status: int
@@ -86,11 +86,11 @@
 
     @property
     def success(self) -> bool:
-        """Whether the status is one of success."""
+        """Whether the status is 2xx."""
         return _HTTP_OK <= self.status < _HTTP_MULTIPLE_CHOICES
 
     async def read_chunk(self) -> bytes | BrokenResponse:
-        """Returns the next bytes of the body, none at its complete end."""
+        """Returns the next bytes of the body, empty at its complete end."""
         try:
             return await self.exchange.read_part()
         except ExchangeError as error:
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Reply:
-    """An endpoint's whole answer to a call of this daemon's own."""
+    """Whole response to one of this daemon's own calls."""
 
     status: int
     body: bytes
@@ -114,12 +114,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadReport:
-    """What an engine says of its load, some hundred milliseconds late.
+    """Load that an engine reports, some hundred milliseconds late.
 
     Attributes:
-        requests: Requests that run or wait there.
-        memory_tokens: Memory in use that cannot be taken away.
-        slowdown: Time that its work takes, relative to the usual.
+        requests: Number of running and waiting requests.
+        memory_tokens: KV cache in use that cannot be evicted, in tokens.
+        slowdown: Duration of the engine's work, relative to the usual one.
     """
 
     requests: int
@@ -128,10 +128,10 @@
 
 
 class PlatformEndpointClient:
-    """Sends requests to endpoints, each on a connection of its own.
+    """Sends requests to endpoints, each on its own connection.
 
-    A connection serves one request only, so that late or surplus bytes of an
-    answer can never be taken for the answer to another request.
+    A connection serves one request only, so that late or surplus bytes of a
+    response can never be taken for the response to another request.
     """
 
     __slots__ = ()
@@ -147,10 +147,10 @@
     ) -> AsyncIterator[
         ResponseHead | RequestNotSent | RequestNotExecuted | BrokenResponse
     ]:
-        """Sends a request and yields the start of its answer.
+        """Sends a request and yields the head of its response, or the failure.
 
-        The connection is closed at the end of the context, which makes the
-        endpoint stop work that has not ended.
+        The connection is closed on exit from the context, which makes the
+        endpoint cancel unfinished work.
         """
         async with contextlib.AsyncExitStack() as stack:
             try:
@@ -173,16 +173,16 @@
     async def reserve(
         self, endpoint: EndpointEntry, *, key: str, tokens: int, hold_ms: int
     ) -> bool:
-        """Reserves memory, or renews a reservation of the same key."""
+        """Reserves memory, or renews the reservation with the same key."""
         order = {"Op": "reserve", "Id": key, "Tokens": tokens}
-        return await self._order(endpoint, {**order, "HoldMs": hold_ms})
+        return await self._send_order(endpoint, {**order, "HoldMs": hold_ms})
 
     async def release(self, endpoint: EndpointEntry, *, key: str) -> bool:
-        """Ends a reservation."""
-        return await self._order(endpoint, {"Op": "release", "Id": key})
+        """Releases a reservation."""
+        return await self._send_order(endpoint, {"Op": "release", "Id": key})
 
-    async def report(self, endpoint: EndpointEntry) -> LoadReport | None:
-        """Asks an engine for its load; None if there is no usable answer."""
+    async def fetch_load(self, endpoint: EndpointEntry) -> LoadReport | None:
+        """Fetches an engine's load; returns None without a usable response."""
         try:
             reply = await _call(endpoint, "GET", protocol.REPORT_PATH)
             data = json.loads(reply.body)
@@ -193,16 +193,16 @@
                 slowdown=fields.number(data, "pace", 1.0),
             )
         except (FieldError, ValueError, *_CALL_ERRORS):
-            return None  # its silence shows with the next request
+            return None  # the next request detects a failed engine
 
-    async def _order(
+    async def _send_order(
         self, endpoint: EndpointEntry, order: dict[str, str | int]
     ) -> bool:
         body = json.dumps(order).encode()
         try:
             reply = await _call(endpoint, "POST", protocol.ORDER_PATH, body)
         except _CALL_ERRORS:
-            return False  # the caller treats it like a refusal
+            return False  # the caller handles a failed call as a refusal
         return reply.status == _HTTP_OK
 
 
@@ -217,7 +217,7 @@
 async def _call(
     endpoint: EndpointEntry, method: str, path: str, body: bytes = b""
 ) -> _Reply:
-    """Makes a call of this daemon's own and reads the whole answer."""
+    """Makes one of this daemon's own calls and reads the whole response."""
     headers = [(protocol.EXPECTED_ENDPOINT_HEADER, endpoint.id)]
     if body:
         headers.append(_JSON)
@@ -234,7 +234,7 @@
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in head.headers
     ]
-    headers = dict(reversed(received))  # the first of a name counts
+    headers = dict(reversed(received))  # the first value of a name wins
     status = head.status_code
     if protocol.NOT_EXECUTED_HEADER in headers or status == _HTTP_MISDIRECTED:
         return RequestNotExecuted(
@@ -242,11 +242,11 @@
             failed_address=headers.get(protocol.FAILED_ENDPOINT_HEADER, ""),
         )
     if headers.get(protocol.ATTEMPT_ID_HEADER) != request.id:
-        return BrokenResponse(reason="the answer is for another request")
+        return BrokenResponse(reason="the response is for another request")
     if protocol.SIGNATURE_HEADER not in headers:
-        return BrokenResponse(reason="the answer is not signed")
+        return BrokenResponse(reason="the response is not signed")
     if "content-encoding" in headers:
-        return BrokenResponse(reason="the answer is encoded")
+        return BrokenResponse(reason="the response has a content encoding")
     return ResponseHead(
         status=status,
         headers=[(n, v) for n, v in received if n not in HOP_BY_HOP_HEADERS],
--- a/src/auburnswitch/platform/fields.py
+++ b/src/auburnswitch/platform/fields.py
@@ -6,14 +6,14 @@
 
 
 class FieldError(ValueError):
-    """A field is missing or has another type than the protocol says."""
+    """A field is missing or does not have the type of the protocol."""
 
 
 def text(data: Any, name: str) -> str:
-    """Returns a text field.
+    """Returns a string.
 
     Raises:
-        FieldError: It is missing or no text.
+        FieldError: The field is missing or is not a string.
     """
     value = _field(data, name)
     if not isinstance(value, str):
@@ -25,7 +25,8 @@
     """Returns a number, the default if the field is missing.
 
     Raises:
-        FieldError: It is no number, or missing without a default.
+        FieldError: The field is not a number, or is missing without a
+            default.
     """
     value = _field(data, name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
@@ -34,10 +35,11 @@
 
 
 def integer(data: Any, name: str, default: int | None = None) -> int:
-    """Returns a whole number, the default if the field is missing.
+    """Returns an integer, the default if the field is missing.
 
     Raises:
-        FieldError: It is no whole number, or missing without a default.
+        FieldError: The field is not a whole number, or is missing without a
+            default.
     """
     value = number(data, name, default)
     if not value.is_integer():
@@ -46,10 +48,10 @@
 
 
 def flag(data: Any, name: str) -> bool:
-    """Returns a truth value, False if the field is missing.
+    """Returns a boolean, False if the field is missing.
 
     Raises:
-        FieldError: It is no truth value.
+        FieldError: The field is not a boolean.
     """
     value = _field(data, name, False)
     if not isinstance(value, bool):
@@ -61,7 +63,7 @@
     """Returns a list, empty if the field is missing.
 
     Raises:
-        FieldError: It is no list.
+        FieldError: The field is not a list.
     """
     value = _field(data, name, [])
     if not isinstance(value, list):
@@ -73,7 +75,7 @@
     """Returns a nested object, None if the field is missing.
 
     Raises:
-        FieldError: It is no object.
+        FieldError: The field is not an object.
     """
     value = data.get(name) if isinstance(data, dict) else None
     if value is not None and not isinstance(value, dict):
--- a/src/auburnswitch/platform/protocol.py
+++ b/src/auburnswitch/platform/protocol.py
@@ -4,20 +4,20 @@
 
 from typing import Final
 
-ATTEMPT_ID_HEADER: Final = "x-attempt-id"  # one for each attempt of the caller
-DEADLINE_MS_HEADER: Final = "x-deadline-ms"  # time that the caller still waits
+ATTEMPT_ID_HEADER: Final = "x-attempt-id"  # unique per caller's attempt
+DEADLINE_MS_HEADER: Final = "x-deadline-ms"  # time until the deadline
 EXPECTED_ENDPOINT_HEADER: Final = "x-expect-instance"
 ENDPOINT_ID_HEADER: Final = "x-instance-id"
 TEAM_HEADER: Final = "x-tenant"
 SIGNATURE_HEADER: Final = (
-    "x-response-seal"  # on each answer that an endpoint made
+    "x-response-seal"  # on every response that an endpoint produced
 )
 NOT_EXECUTED_HEADER: Final = "x-not-executed"
 TOKEN_COUNTS_HEADER: Final = (
-    "x-token-counts"  # prompt tokens, most answer tokens
+    "x-token-counts"  # prompt tokens, maximum answer tokens
 )
 LENGTH_HINT_HEADER: Final = (
-    "x-length-hint"  # the caller's guess of answer tokens
+    "x-length-hint"  # the caller's estimate of answer tokens
 )
 PREFILL_HELPERS_HEADER: Final = "x-helpers"
 LAST_EVENT_ID_HEADER: Final = "last-event-id"
--- a/src/auburnswitch/platform/requests.py
+++ b/src/auburnswitch/platform/requests.py
@@ -1,4 +1,4 @@
-"""Decodes callers' requests and encodes those to endpoints."""
+"""Decodes callers' requests and encodes requests to endpoints."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
     from auburnswitch.schema.installation import EndpointEntry
 
-# Headers that concern one connection only.
+# Headers that apply to a single connection.
 HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         "connection",
@@ -27,7 +27,8 @@
         "expect",
     }
 )
-_SET_HERE: Final = frozenset(
+# Headers that this daemon evaluates or sets itself.
+_NOT_FORWARDED: Final = frozenset(
     {
         protocol.DEADLINE_MS_HEADER,
         protocol.EXPECTED_ENDPOINT_HEADER,
@@ -45,12 +46,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class PrefillHelper:
-    """An endpoint that reads a part of a prompt.
+    """An endpoint that prefills a part of a prompt.
 
     Attributes:
         endpoint: The endpoint.
-        reservation: Key of the memory reserved there for the part; None if
-            the part is kept elsewhere.
+        reservation: Key of the endpoint's memory reservation for the part;
+            None if the part is kept elsewhere.
     """
 
     endpoint: EndpointEntry
@@ -59,20 +60,22 @@
 
 @dataclass(slots=True, kw_only=True)
 class CallerRequest:
-    """What the headers of a caller's request say.
+    """A caller's request, decoded from its target and headers.
 
     Attributes:
-        id: Id of this attempt of the caller.
+        id: Id of this attempt of the caller, empty if none is given.
         method: HTTP method.
-        target: Path and query as they were sent.
-        path: The path alone.
-        host: Host that the request is for, in lower case, without a port.
-        headers: All headers that are passed on.
-        caller_key: The caller's key, empty if there is none.
-        deadline_s: Time that the caller waits, None if it does not say.
-        prompt_tokens: Tokens of the prompt, 0 if it does not say.
-        answer_tokens: Tokens that the answer is expected to have.
-        last_event_id: Last event that the caller has, None if none.
+        target: Path and query as received.
+        path: Path without the query.
+        host: Host header in lower case, without the port.
+        headers: Headers that are forwarded to the endpoint.
+        caller_key: The caller's key, empty if none is given.
+        deadline_s: Time until the caller's deadline, in seconds; None if not
+            given.
+        prompt_tokens: Number of prompt tokens, 0 if not given.
+        answer_tokens: Expected number of answer tokens, 0 if not given.
+        last_event_id: Id of the last event that the caller received, None if
+            not given.
     """
 
     id: str
@@ -91,36 +94,36 @@
 def decode_request(
     *, method: str, raw_path: bytes, query: bytes, headers: Headers
 ) -> CallerRequest:
-    """Decodes a caller's request; header names are in lower case."""
-    known = dict(headers)
+    """Decodes a caller's request; header names must be in lower case."""
+    by_name = dict(headers)
     path = raw_path.decode("latin-1")
-    prompt_tokens, most_tokens = _token_counts(
-        known.get(protocol.TOKEN_COUNTS_HEADER)
+    prompt_tokens, max_tokens = _token_counts(
+        by_name.get(protocol.TOKEN_COUNTS_HEADER)
     )
-    hint = _whole(known.get(protocol.LENGTH_HINT_HEADER, ""))
+    length_hint = _non_negative(by_name.get(protocol.LENGTH_HINT_HEADER, ""))
     return CallerRequest(
-        id=known.get(protocol.ATTEMPT_ID_HEADER, ""),
+        id=by_name.get(protocol.ATTEMPT_ID_HEADER, ""),
         method=method,
         target=path + ("?" + query.decode("latin-1") if query else ""),
         path=path,
-        host=_host(known.get("host", "")),
-        headers=_passed_on(headers),
-        caller_key=_caller_key(known.get(protocol.AUTHORIZATION_HEADER, "")),
-        deadline_s=_seconds(known.get(protocol.DEADLINE_MS_HEADER)),
+        host=_host(by_name.get("host", "")),
+        headers=_forwarded(headers),
+        caller_key=_caller_key(by_name.get(protocol.AUTHORIZATION_HEADER, "")),
+        deadline_s=_ms_to_s(by_name.get(protocol.DEADLINE_MS_HEADER)),
         prompt_tokens=prompt_tokens,
-        answer_tokens=min(hint or most_tokens, most_tokens or hint),
-        last_event_id=known.get(protocol.LAST_EVENT_ID_HEADER),
+        answer_tokens=min(length_hint or max_tokens, max_tokens or length_hint),
+        last_event_id=by_name.get(protocol.LAST_EVENT_ID_HEADER),
     )
 
 
-def _passed_on(headers: Headers) -> Headers:
-    left_out = HOP_BY_HOP_HEADERS | _SET_HERE
+def _forwarded(headers: Headers) -> Headers:
+    excluded = HOP_BY_HOP_HEADERS | _NOT_FORWARDED
     for name, value in headers:
         if name == "connection":
-            left_out = left_out | {
+            excluded = excluded | {
                 part.strip().lower() for part in value.split(",")
             }
-    return [(name, value) for name, value in headers if name not in left_out]
+    return [(name, value) for name, value in headers if name not in excluded]
 
 
 def _host(value: str) -> str:
@@ -133,7 +136,7 @@
     return value[len(protocol.BEARER_PREFIX) :].strip()
 
 
-def _seconds(value: str | None) -> float | None:
+def _ms_to_s(value: str | None) -> float | None:
     try:
         return float(value) / _MS_PER_S if value is not None else None
     except ValueError:
@@ -142,10 +145,10 @@
 
 def _token_counts(value: str | None) -> tuple[int, int]:
     prompt, _, answer = (value or "").partition(",")
-    return _whole(prompt), _whole(answer)
+    return _non_negative(prompt), _non_negative(answer)
 
 
-def _whole(value: str) -> int:
+def _non_negative(value: str) -> int:
     try:
         return max(0, int(value.strip() or 0))
     except ValueError:
@@ -161,15 +164,15 @@
     helpers: Sequence[PrefillHelper] = (),
     last_event_id: str | None = None,
 ) -> Headers:
-    """Returns the headers with which a request is sent to an endpoint.
+    """Returns the headers of a request to an endpoint.
 
     Args:
         request: The caller's request.
-        endpoint: Endpoint that is to run it; any other one refuses.
-        team: Team of the caller, empty if it needs none.
-        time_left_s: Time until the caller stops waiting, in seconds.
-        helpers: Endpoints that read parts of the prompt.
-        last_event_id: Event after which a stream goes on.
+        endpoint: Endpoint that must run the request; any other refuses it.
+        team: Team of the caller, empty if none is sent.
+        time_left_s: Time until the caller's deadline, in seconds.
+        helpers: Endpoints that prefill parts of the prompt.
+        last_event_id: Id of the event after which a stream continues.
     """
     headers = [
         *request.headers,
@@ -182,14 +185,14 @@
     if team:
         headers.append((protocol.TEAM_HEADER, team))
     if helpers:
-        listed = ",".join(_helper(helper) for helper in helpers)
-        headers.append((protocol.PREFILL_HELPERS_HEADER, listed))
+        encoded = ",".join(_encode_helper(helper) for helper in helpers)
+        headers.append((protocol.PREFILL_HELPERS_HEADER, encoded))
     if last_event_id is not None:
         headers.append((protocol.LAST_EVENT_ID_HEADER, last_event_id))
     return headers
 
 
-def _helper(helper: PrefillHelper) -> str:
+def _encode_helper(helper: PrefillHelper) -> str:
     address = f"{helper.endpoint.host}:{helper.endpoint.port}"
     if helper.reservation is None:
         return address
--- a/src/auburnswitch/platform/store_client.py
+++ b/src/auburnswitch/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Calls the platform's store of objects."""
+"""Client of the platform's object store, as the entry daemon uses it."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     """An object of the store.
 
     Attributes:
-        name: Its name, unique in its kind.
-        body: What its writer stored.
-        deleted: The object is gone, or marked to go.
+        name: Name of the object, unique within its kind.
+        body: Value that the writer stored.
+        deleted: Whether the object is deleted or marked for deletion.
     """
 
     name: str
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class Listing:
-    """Objects of a kind as of a revision: all of them, or what changed.
+    """Objects of a kind as of a revision: all, or only the changed ones.
 
     Attributes:
-        revision: The store's revision, from which a watch goes on.
+        revision: Revision of the store, from which a watch continues.
         objects: The objects.
     """
 
@@ -56,30 +56,30 @@
 
 @dataclass(slots=True, kw_only=True)
 class RevisionExpired:
-    """The store no longer has the history that a watch asked for."""
+    """The store no longer keeps the changes that a watch requested."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Conflict:
-    """The object exists already, or has changed meanwhile."""
+    """The object exists already or was changed concurrently."""
 
 
 @dataclass(slots=True, kw_only=True)
 class StoreFailure:
-    """A call got no usable answer; a write may have been done.
+    """A call got no usable response; a write may have taken effect.
 
     Attributes:
-        reason: What happened.
+        reason: Description of the failure.
     """
 
     reason: str
 
 
 class PlatformStoreClient:
-    """Calls the store, each call on its own and never repeated here.
+    """Calls the store, each call on its own connection and without retries.
 
     Attributes:
-        call_count: Calls made so far.
+        call_count: Number of calls made.
     """
 
     __slots__ = ("call_count", "settings")
@@ -98,14 +98,14 @@
                 case StoreFailure():
                     return answer
                 case (status, body) if status == _HTTP_OK:
-                    page = _objects(body.get("Items"))
+                    page = _decode_objects(body.get("Items"))
                 case (status, _):
                     return StoreFailure(reason=f"status {status}")
             objects += page
             if not body.get("HasMore") or not page:
                 revision = int(body.get("AsOf", 0))
                 return Listing(revision=revision, objects=objects)
-            query = f"?AfterRev={page[-1].name}"  # a name, in spite of its name
+            query = f"?AfterRev={page[-1].name}"  # takes a name, not a revision
 
     async def watch(
         self, kind: str, revision: int
@@ -113,7 +113,7 @@
         """Waits for changes of a kind after a revision.
 
         Returns:
-            The changes, none if there were none in the time of the wait.
+            The changes, empty if there were none during the wait.
         """
         wait_s = self.settings.watch_wait_s
         query = f"?Watch={revision}&WaitMs={int(wait_s * _MS_PER_S)}"
@@ -126,7 +126,7 @@
             case (status, body) if status == _HTTP_OK:
                 return Listing(
                     revision=int(body.get("AsOf", revision)),
-                    objects=_events(body.get("events")),
+                    objects=_decode_events(body.get("events")),
                 )
             case (status, _):
                 return StoreFailure(reason=f"status {status}")
@@ -134,14 +134,14 @@
     async def create(
         self, kind: str, name: str, body: Any
     ) -> StoredObject | Conflict | StoreFailure:
-        """Creates an object unless there is one with its name."""
+        """Creates an object; fails if its name is in use."""
         data = {"Metadata": {"Name": name}, "Spec": body}
         return await self._write("POST", f"/{kind}", name, data)
 
     async def replace(
         self, kind: str, name: str, body: Any
     ) -> StoredObject | Conflict | StoreFailure:
-        """Replaces an object whatever it holds."""
+        """Replaces an object unconditionally."""
         data = {"Metadata": {"Name": name}, "Spec": body}
         return await self._write("PUT", f"/{kind}/{name}", name, data)
 
@@ -188,7 +188,7 @@
                 answer = await exchange.read_all()
             return head.status_code, _decode(answer)
         except TimeoutError:
-            return StoreFailure(reason="no answer in time")
+            return StoreFailure(reason="timed out")
         except (ConnectError, ExchangeError, ValueError) as error:
             return StoreFailure(reason=repr(error))
 
@@ -198,28 +198,30 @@
     return data if isinstance(data, dict) else {}
 
 
-def _objects(items: Any) -> list[StoredObject]:
-    found = [_object(item) for item in items or []]
-    return [item for item in found if item is not None]
+def _decode_objects(items: Any) -> list[StoredObject]:
+    decoded = [_decode_object(item) for item in items or []]
+    return [item for item in decoded if item is not None]
 
 
-def _events(events: Any) -> list[StoredObject]:
+def _decode_events(events: Any) -> list[StoredObject]:
     changed = []
     for event in events or []:
-        found = (
-            _object(event.get("Object")) if isinstance(event, dict) else None
+        decoded = (
+            _decode_object(event.get("Object"))
+            if isinstance(event, dict)
+            else None
         )
-        if found is not None:
-            found.deleted = found.deleted or bool(event.get("Deleted"))
-            changed.append(found)
+        if decoded is not None:
+            decoded.deleted = decoded.deleted or bool(event.get("Deleted"))
+            changed.append(decoded)
     return changed
 
 
-def _object(item: Any) -> StoredObject | None:
+def _decode_object(item: Any) -> StoredObject | None:
     meta = item.get("Metadata") if isinstance(item, dict) else None
     name = meta.get("Name") if isinstance(meta, dict) else None
     if not isinstance(name, str):
-        return None  # without a name it names nothing that could be used
+        return None  # an object without a name cannot be used
     return StoredObject(
         name=name, body=item.get("Spec"), deleted=bool(meta.get("Deleting"))
     )
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -133,7 +133,7 @@
         """Asks one engine; returns what peers have to know, if anything."""
         now = monotonic_s()
         load = self.load.by_endpoint[known.entry.id]
-        answer = await self.calls.report(known.entry)
+        answer = await self.calls.fetch_load(known.entry)
         if answer is None:
             self._next_at[known.entry.id] = now + OBSERVE_INTERVAL_S
             return None
--- a/tests/configuration/test_version_model.py
+++ b/tests/configuration/test_version_model.py
@@ -72,7 +72,9 @@
             yield lambda known, v=version: known.adopt_config(config(v), SOURCE)
             for since in range(1, version):
                 changes = diff_configs(config(since), config(version))
-                yield lambda known, c=changes: known.change_config(c, SOURCE)
+                yield lambda known, c=changes: known.adopt_config_changes(
+                    c, SOURCE
+                )
 
     def read(self, known: Installation):
         if known.table is None:
@@ -99,7 +101,9 @@
             yield lambda known, e=listed: known.adopt_endpoints(e, SOURCE)
             for since in range(1, version):
                 changes = self._changes(since, version)
-                yield lambda known, c=changes: known.change_endpoints(c, SOURCE)
+                yield lambda known, c=changes: known.adopt_endpoint_changes(
+                    c, SOURCE
+                )
 
     def _changes(self, since: int, version: int) -> EndpointChanges:
         """Returns all entries that were touched in between."""
@@ -204,10 +208,10 @@
             made = module.apply_config_changes(self.table.config, changes)
             return self.adopt_config(made, source)
 
-        self.refuted(ConfigModel(), "change_config", change)
+        self.refuted(ConfigModel(), "adopt_config_changes", change)
 
     def test_changes_of_endpoints_over_a_gap_are_applied(self):
-        whole = Installation.change_endpoints
+        whole = Installation.adopt_endpoint_changes
 
         def change(self, changes, source):
             if self.endpoints_revision:
@@ -215,7 +219,7 @@
                 changes.since_revision = min(changes.since_revision, known)
             return whole(self, changes, source)
 
-        self.refuted(EndpointModel(), "change_endpoints", change)
+        self.refuted(EndpointModel(), "adopt_endpoint_changes", change)
 
 
 if __name__ == "__main__":
