--- a/src/auburnswitch/configuration/state.py
+++ b/src/auburnswitch/configuration/state.py
@@ -82,7 +82,7 @@
         return self._finish_join(any(changed))
 
     def has_joined(self, ticket: Ticket) -> bool:
-        """Returns whether a ticket or newer changes of its objects are joined."""
+        """Returns whether a ticket or newer changes of its objects apply."""
         keys = [(ObjectKind(c.kind), c.name) for c in ticket.changes]
         return all(
             self._joined_numbers.get(key, 0) >= ticket.number for key in keys
--- a/src/auburnswitch/platform/store_client.py
+++ b/src/auburnswitch/platform/store_client.py
@@ -188,7 +188,7 @@
                 answer = await exchange.read_all()
             return head.status_code, _decode(answer)
         except TimeoutError:
-            return StoreFailure(reason="timed out")
+            return StoreFailure(reason="the call timed out")
         except (ConnectError, ExchangeError, ValueError) as error:
             return StoreFailure(reason=repr(error))
 
--- a/tests/claims/__init__.py
+++ b/tests/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the platform package."""
+"""Tests of the claims package."""
--- a/tests/claims/test_claim_store.py
+++ b/tests/claims/test_claim_store.py
@@ -1,4 +1,4 @@
-"""Tests of the shards that hold claims."""
+"""Tests of claims and of the shards that store them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 async def open_claims(
     count: int = 1, platform_options=None, members: int = 1, **settings
 ):
-    """Opens a platform and the claims of some daemons."""
+    """Opens a platform and the claim stores of some daemons."""
     async with contextlib.AsyncExitStack() as stack:
         platform = await stack.enter_async_context(
             open_platform(**(platform_options or {}))
@@ -60,8 +60,8 @@
     )
 
 
-class GroupTest(unittest.TestCase):
-    def test_writes_grow_with_shards(self):
+class BatchTest(unittest.TestCase):
+    def test_claims_of_a_shard_share_a_write(self):
         async def scenario():
             async with open_claims(claim_shards=4) as (platform, stores):
                 await claim(stores[0], "first")
@@ -93,7 +93,7 @@
         self.assertEqual(kinds, {ClaimAcquired})
         self.assertLess(writes_per_second, 150)
 
-    def test_daemons_with_other_settings_agree_on_the_shards(self):
+    def test_daemons_with_different_settings_use_the_same_shards(self):
         async def scenario():
             async with open_claims(2, claim_shards=4) as (_, stores):
                 stores[1].settings.claim_shards = 7
@@ -123,14 +123,14 @@
             run_virtual(scenario), (AlreadyClaimed, ClaimAcquired, 1)
         )
 
-    def test_drop_belongs_to_the_owner_of_the_nonce(self):
+    def test_changes_with_another_nonce_are_ignored(self):
         async def scenario():
             async with open_claims(2) as (_, stores):
-                mine = (await claim(stores[0], "a")).claim
-                mine.nonce = "other"
+                altered = (await claim(stores[0], "a")).claim
+                altered.nonce = "other"
                 await claim(stores[1], "b")
-                stores[1].drop(mine)
-                stores[1].record_unknown(mine)
+                stores[1].drop(altered)
+                stores[1].record_unknown(altered)
                 await stores[1].flush(5)
                 return await claim(stores[0], "a")
 
@@ -138,22 +138,22 @@
         self.assertIsInstance(outcome, AlreadyClaimed)
         self.assertEqual(outcome.claim.state, 0)
 
-    def test_drop_voids_a_write_that_is_still_under_way(self):
+    def test_drop_makes_a_write_in_flight_fail(self):
         async def scenario():
             async with open_claims(claim_shards=1) as (platform, stores):
                 claims = stores[0]
                 dropped = (await claim(claims, "a")).claim
                 version = platform.store.version("claims/0000")
-                late = platform.store.objects["claims/0000"].value
+                delayed_value = platform.store.objects["claims/0000"].value
                 claims.drop(dropped)
                 await claims.flush(5)
                 claims.drop(dropped)
                 await claims.flush(5)
                 put = await claims.store.put(
-                    "claims/0000", late, expected_version=version
+                    "claims/0000", delayed_value, expected_version=version
                 )
-                after_absent = platform.store.version("claims/0000")
-                return put.error, after_absent - version
+                final_version = platform.store.version("claims/0000")
+                return put.error, final_version - version
 
         error, writes = run_virtual(scenario)
         self.assertIsInstance(error, VersionConflict)
@@ -166,13 +166,13 @@
             async with open_claims(
                 count, claim_shards=1, claim_split_bytes=4096
             ) as (platform, stores):
-                turn = random.Random(1)
+                rng = random.Random(1)
                 keys = [str(n) for n in range(300)]
                 first = await asyncio.gather(
-                    *(claim(turn.choice(stores), key) for key in keys)
+                    *(claim(rng.choice(stores), key) for key in keys)
                 )
                 again = await asyncio.gather(
-                    *(claim(turn.choice(stores), key) for key in keys)
+                    *(claim(rng.choice(stores), key) for key in keys)
                 )
                 shards = [
                     len(str(item.value))
@@ -229,16 +229,18 @@
     def test_lost_reply_of_the_committing_daemon(self):
         async def scenario():
             async with open_claims(2) as (platform, stores):
-                asker, home = stores
+                requester, committer = stores
 
                 async def forward(_, pending):
                     pending.written = True
-                    there = PendingChange(change=pending.change, for_peer=True)
-                    await home.commit_for_peer(there, 1)
-
-                asker.forward = forward
-                outcome = await claim(asker, "a")
-                again = await claim(home, "a")
+                    forwarded = PendingChange(
+                        change=pending.change, for_peer=True
+                    )
+                    await committer.commit_for_peer(forwarded, 1)
+
+                requester.forward = forward
+                outcome = await claim(requester, "a")
+                again = await claim(committer, "a")
                 return outcome, again, platform.calls["put"]
 
         outcome, again, puts = run_virtual(scenario)
@@ -246,19 +248,23 @@
         self.assertIsInstance(again, AlreadyClaimed)
         self.assertEqual(puts, 2)
 
-    def test_committing_daemon_leaves_drops_to_the_owner(self):
+    def test_committing_daemon_leaves_drops_to_the_requester(self):
         async def scenario():
             async with open_claims(2) as (platform, stores):
-                asker, home = stores
-                await claim(home, "other")
+                requester, committer = stores
+                await claim(committer, "other")
                 pending = PendingChange(
-                    change=AddClaim(claim=asker._new_claim("a" * 32, "", 10)),
+                    change=AddClaim(
+                        claim=requester._new_claim("a" * 32, "", 10)
+                    ),
                     for_peer=True,
                 )
                 platform.lose_answers, platform.hang_lost = 1, True
-                outcome = await home.commit_for_peer(pending, 1)
+                outcome = await committer.commit_for_peer(pending, 1)
                 await asyncio.sleep(10)
-                key = f"claims/{root_shard('a' * 32, home.shard_count):04d}"
+                key = (
+                    f"claims/{root_shard('a' * 32, committer.shard_count):04d}"
+                )
                 stored = platform.store.objects[key].value["claims"]
                 return outcome, pending.written, len(stored)
 
--- a/tests/configuration/test_config_diff.py
+++ b/tests/configuration/test_config_diff.py
@@ -1,4 +1,4 @@
-"""Differences between versions of a configuration."""
+"""Tests of the differences between versions of a configuration."""
 
 from __future__ import annotations
 
@@ -38,16 +38,18 @@
 class ConfigChangesTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(ROUTES, ROUTES, st.integers(0, 3), st.integers(0, 3))
-    def test_changes_lead_to_the_new_version(self, old, new, few, many):
-        before, after = config(1, old, few), config(2, new, many)
-        made = apply_config_changes(before, diff_configs(before, after))
-        self.assertEqual(made.version, 2)
-        self.assertEqual(made.teams, after.teams)
-        self.assertEqual(made.services, after.services)
+    def test_applied_changes_give_the_new_version(
+        self, old, new, old_keys, new_keys
+    ):
+        before, after = config(1, old, old_keys), config(2, new, new_keys)
+        updated = apply_config_changes(before, diff_configs(before, after))
+        self.assertEqual(updated.version, 2)
+        self.assertEqual(updated.teams, after.teams)
+        self.assertEqual(updated.services, after.services)
         by_name = {route.name: route for route in after.routes}
-        self.assertEqual({r.name: r for r in made.routes}, by_name)
+        self.assertEqual({r.name: r for r in updated.routes}, by_name)
 
-    def test_only_what_changed_is_told(self):
+    def test_only_changed_routes_are_included(self):
         before = config(1, dict.fromkeys("abcdef", 1), 1)
         after = config(2, {**dict.fromkeys("abcde", 1), "b": 2}, 1)
         changes = diff_configs(before, after)
@@ -55,7 +57,7 @@
         self.assertEqual(changes.removed, ["f"])
         self.assertEqual(changes.rest.routes, [])
 
-    def test_routes_without_names_of_their_own(self):
+    def test_duplicate_route_names_give_no_changes(self):
         before = config(1, {"a": 1}, 1)
         after = config(2, {"a": 1}, 1)
         after.routes.append(Route(name="a", host="other"))
--- a/tests/configuration/test_spread.py
+++ b/tests/configuration/test_spread.py
@@ -1,4 +1,4 @@
-"""Tests of tickets and work in a whole fleet under faults of the store."""
+"""Tests of tickets and requests in a whole fleet under store faults."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from auburnswitch.schema.results import ResultCode
 from tests.virtual_time import SimulatedConnector, run_virtual
 
-IN_FORCE_S = 8.0
+MAX_TIME_TO_FORCE_S = 8.0
 
 
-class InForceTest(unittest.TestCase):
-    def test_in_force_in_time_under_each_fault(self):
+class PropagationTest(unittest.TestCase):
+    def test_ticket_is_in_force_in_time_under_each_fault(self):
         async def scenario(fault, before):
             options = FleetOptions(
                 engines=1, daemons=DAEMON_COUNT, connector=SimulatedConnector
@@ -38,7 +38,7 @@
                 took_s = run_virtual(
                     lambda fault=fault, before=before: scenario(fault, before)
                 )
-                self.assertLess(took_s, IN_FORCE_S)
+                self.assertLess(took_s, MAX_TIME_TO_FORCE_S)
 
 
 class OutageTest(unittest.TestCase):
@@ -51,20 +51,20 @@
             answer = await response.json()
             return response.status, answer.get("error", {}).get("code")
 
-    def test_an_hour_without_the_store(self):
+    def test_store_outage_of_one_hour(self):
         async def scenario():
             options = FleetOptions(connector=SimulatedConnector)
             async with open_fleet(options) as fleet:
                 prompt = {"model": MODEL, "prompt": "hi " * 99, "max_tokens": 4}
                 path = f"/services/{PLAIN_SERVICE}/bookings"
                 fleet.platform.outage = True
-                answers, booked = [], []
+                completions, bookings = [], []
                 for _ in range(60):
                     await asyncio.sleep(58)
-                    answers.append(
+                    completions.append(
                         await self.post(fleet, "/v1/completions", prompt)
                     )
-                    booked.append(
+                    bookings.append(
                         await self.post(
                             fleet, path, {}, **{"Idempotency-Key": "k"}
                         )
@@ -76,13 +76,20 @@
                 await asyncio.sleep(5)
                 await fleet.apply(ticket)
                 await fleet.wait_until_converged()
-                later = await self.post(
+                booking_after_outage = await self.post(
                     fleet, path, {}, **{"Idempotency-Key": "k"}
                 )
                 runs = sum(len(p.bookings) for p in fleet.plain.values())
-                return set(answers), set(booked), later, runs
+                return (
+                    set(completions),
+                    set(bookings),
+                    booking_after_outage,
+                    runs,
+                )
 
-        answers, booked, later, runs = run_virtual(scenario)
-        self.assertEqual(answers, {(200, None)})
-        self.assertEqual(booked, {(503, int(ResultCode.STORE_UNAVAILABLE))})
-        self.assertEqual((later, runs), ((201, None), 1))
+        completions, bookings, booking_after_outage, runs = run_virtual(
+            scenario
+        )
+        self.assertEqual(completions, {(200, None)})
+        self.assertEqual(bookings, {(503, int(ResultCode.STORE_UNAVAILABLE))})
+        self.assertEqual((booking_after_outage, runs), ((201, None), 1))
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -56,24 +56,24 @@
 class JoinTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(tickets=TICKETS, data=st.data())
-    def test_any_order_repetition_and_snapshots(self, tickets, data):
+    def test_order_repetition_and_snapshots_do_not_matter(self, tickets, data):
         expected = ConfigState()
         for ticket in tickets:
             expected.join_ticket(ticket)
         state = ConfigState(invariants=Invariants(strict=True))
         order = data.draw(
             st.lists(st.sampled_from(tickets), max_size=12).flatmap(
-                lambda more: st.permutations([*tickets, *more])
+                lambda repeated: st.permutations([*tickets, *repeated])
             )
         )
         for ticket in order:
             if data.draw(st.booleans()):
                 state.join_ticket(ticket)
             else:
-                part = ConfigState()
-                part.join_ticket(ticket)
-                part.join_snapshot(state.snapshot())
-                state.join_snapshot(part.snapshot())
+                other_state = ConfigState()
+                other_state.join_ticket(ticket)
+                other_state.join_snapshot(state.snapshot())
+                state.join_snapshot(other_state.snapshot())
             self.assertTrue(state.has_joined(ticket))
         self.assertEqual(state.digest, expected.digest)
         self.assertEqual(state.snapshot(), expected.snapshot())
@@ -122,7 +122,7 @@
         state.join_ticket(Ticket(number=6, changes=[zone("a")]))
         self.assertIn("e", state.endpoints)
 
-    def test_deletion_of_what_is_in_use_is_refused(self):
+    def test_deletion_of_an_object_in_use_is_refused(self):
         state = ConfigState()
         changes = [zone("a"), service("s"), endpoint("e", "s", "a")]
         state.join_ticket(Ticket(number=1, changes=changes))
--- a/tests/configuration/test_tickets.py
+++ b/tests/configuration/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tests of the acceptance, the publication and the folding of tickets."""
+"""Tests of the acceptance, publication and compaction of tickets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Node:
-    """The part of a daemon that handles tickets."""
+    """The components of a daemon that handle tickets."""
 
     def __init__(self, url: str, session, **settings) -> None:
         values = PlatformSettings(url=url, **settings)
@@ -48,14 +48,14 @@
 
 @contextlib.asynccontextmanager
 async def open_nodes(count: int = 1, **settings):
-    """Opens a platform and some nodes; their watches are not started."""
+    """Opens a platform and some nodes, without starting their watches."""
     async with open_platform() as platform, open_session() as session:
         nodes = [Node(platform.url, session, **settings) for _ in range(count)]
         yield platform, nodes
 
 
 class AcceptTest(unittest.TestCase):
-    def test_same_number(self):
+    def test_number_is_reused_only_with_same_content(self):
         async def scenario():
             async with open_nodes(2) as (platform, (first, second)):
                 one, again, other = await asyncio.gather(
@@ -70,7 +70,7 @@
         self.assertIs(other.error.code, ResultCode.TICKET_CONFLICT)
         self.assertEqual(count, 2)
 
-    def test_too_large_names_size_and_limit(self):
+    def test_error_for_large_ticket_states_size_and_limit(self):
         async def scenario():
             async with open_nodes(max_value_bytes=2000) as (_, (node,)):
                 changes = [zone(f"z{n}") for n in range(100)]
@@ -118,23 +118,34 @@
 class CompactionTest(unittest.TestCase):
     def test_starting_daemon_reads_the_snapshot(self):
         async def scenario():
-            async with open_nodes(3) as (platform, (first, second, late)):
+            async with open_nodes(3) as (platform, (first, second, new_node)):
                 for number in range(10, 50):
                     zones = zone(f"z{number % 7}", out=number % 2 == 0)
                     await first.accept(number, zones)
                 await asyncio.gather(first.poller.poll(), second.poller.poll())
-                left = len(platform.store.list_objects(PUBLISHED_PREFIX))
+                published_count = len(
+                    platform.store.list_objects(PUBLISHED_PREFIX)
+                )
                 lower = await second.accept(5, zone("low", out=True))
                 reused = await second.accept(10, zone("z3"))
                 repeated = await second.accept(11, zone("z4"))
-                await late.watcher._list()
+                await new_node.watcher._list()
                 await first.poller.poll()
                 await second.watcher._list()
-                digests = [n.state.digest for n in (first, second, late)]
-                return left, lower, reused, repeated, digests, late.state
+                digests = [n.state.digest for n in (first, second, new_node)]
+                return (
+                    published_count,
+                    lower,
+                    reused,
+                    repeated,
+                    digests,
+                    new_node.state,
+                )
 
-        left, lower, reused, repeated, digests, state = run_virtual(scenario)
-        self.assertEqual(left, 0)
+        published_count, lower, reused, repeated, digests, state = run_virtual(
+            scenario
+        )
+        self.assertEqual(published_count, 0)
         self.assertTrue(lower.is_ok() and repeated.is_ok())
         self.assertIs(reused.error.code, ResultCode.TICKET_CONFLICT)
         self.assertEqual(len(set(digests)), 1)
@@ -142,17 +153,17 @@
 
     def test_second_snapshot_keeps_the_first(self):
         async def scenario():
-            async with open_nodes(3) as (_, (first, second, late)):
+            async with open_nodes(3) as (_, (first, second, new_node)):
                 for node, start in ((first, 1), (second, 100)):
                     for number in range(start, start + 35):
                         await node.accept(number, zone(f"z{number}"))
                     await node.poller.poll()
-                await late.watcher._list()
-                return len(late.state.zones)
+                await new_node.watcher._list()
+                return len(new_node.state.zones)
 
         self.assertEqual(run_virtual(scenario), 70)
 
-    def test_ticket_published_during_a_compaction_stays(self):
+    def test_ticket_published_during_a_compaction_is_kept(self):
         async def scenario(delay_s: float):
             async with open_nodes(2) as (platform, (first, second)):
                 for number in range(10, 50):
@@ -175,7 +186,7 @@
 
 
 class WatchTest(unittest.TestCase):
-    def follow(self, fault):
+    def run_with_fault(self, fault):
         async def scenario():
             async with open_nodes(2) as (platform, (writer, node)):
                 tasks = [
@@ -196,26 +207,26 @@
 
         return run_virtual(scenario)
 
-    def test_watch_that_skips(self):
-        def broken(platform, _):
+    def test_watch_that_misses_changes(self):
+        def break_watch(platform, _):
             platform.watch_broken = True
             return lambda: None
 
-        self.assertTrue(self.follow(broken)[0])
+        self.assertTrue(self.run_with_fault(break_watch)[0])
 
     def test_watch_that_hangs(self):
         async def watch(*_):
             await asyncio.sleep(3600)
 
         with unittest.mock.patch.object(StoreWatcher, "_watch", watch):
-            found, _ = self.follow(lambda *_: lambda: None)
+            found, _ = self.run_with_fault(lambda *_: lambda: None)
         self.assertTrue(found)
 
     def test_watch_that_ends_at_once_does_not_spin(self):
-        def ends(platform, node):
+        def end_watch_at_once(platform, node):
             node.store.settings.watch_timeout_s = 0.0
             return lambda: None
 
-        found, calls = self.follow(ends)
+        found, calls = self.run_with_fault(end_watch_at_once)
         self.assertTrue(found)
         self.assertLess(calls, 40)
--- a/tests/configuration/test_version_model.py
+++ b/tests/configuration/test_version_model.py
@@ -1,10 +1,10 @@
-"""Searches all orders in which news of the store can reach two daemons.
+"""Explores all orders in which store updates can reach two daemons.
 
 The states are those of the real code. The store goes through a few revisions;
-each daemon reads whole states, stale ones included, or what has changed between
-any two, hears the same from the other daemon, late and more than once, and may
-start again. At every state, what a daemon has must be exactly what the store
-held at the version that the daemon believes to have.
+each daemon reads whole states, stale ones included, or the changes between any
+two revisions, receives the same from the other daemon, late and repeatedly, and
+may restart. In every state, a daemon's content must equal the content that the
+store had at the version that the daemon has recorded.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
 
 class Daemons(NamedTuple):
-    """What two daemons believe, and what they held last in this start."""
+    """Versions and contents of two daemons, and their previous versions."""
 
     versions: tuple[int, int] = (0, 0)
     contents: tuple[tuple, tuple] = ((), ())
-    before: tuple[int, int] = (0, 0)
-    starts: int = 0
+    previous_versions: tuple[int, int] = (0, 0)
+    restarts: int = 0
 
 
 def config(version: int) -> InstallationConfig:
@@ -57,101 +57,119 @@
 
 
 class ConfigModel:
-    """Configurations; all of one, or what has changed since another."""
+    """Configurations: whole versions, or the changes between versions."""
 
-    first = ()
+    initial = ()
 
-    def restore(self, known: Installation, version: int, content) -> None:
+    def restore(
+        self, installation: Installation, version: int, content
+    ) -> None:
         if version:
             routes = [Route(name=name, host="h") for name in content]
             restored = InstallationConfig(version=version, routes=routes)
-            known.adopt_config(restored, SOURCE)
+            installation.adopt_config(restored, SOURCE)
 
     def messages(self):
         for version in range(1, NEWEST + 1):
-            yield lambda known, v=version: known.adopt_config(config(v), SOURCE)
+            yield lambda installation, v=version: installation.adopt_config(
+                config(v), SOURCE
+            )
             for since in range(1, version):
                 changes = diff_configs(config(since), config(version))
-                yield lambda known, c=changes: known.adopt_config_changes(
-                    c, SOURCE
+                yield (
+                    lambda installation, c=changes: (
+                        installation.adopt_config_changes(c, SOURCE)
+                    )
                 )
 
-    def read(self, known: Installation):
-        if known.table is None:
+    def read(self, installation: Installation):
+        if installation.table is None:
             return 0, ()
-        names = [route.name for route in known.table.config.routes]
-        return known.config_version, tuple(sorted(names))
+        names = [route.name for route in installation.table.config.routes]
+        return installation.config_version, tuple(sorted(names))
 
-    def truth(self, version: int):
+    def expected_content(self, version: int):
         return tuple(sorted(CONFIGS[version]))
 
 
 class EndpointModel:
-    """Endpoints; all of them, or what has changed since a revision."""
+    """Endpoints: whole lists, or the changes between revisions."""
 
-    first = ()
+    initial = ()
 
-    def restore(self, known: Installation, version: int, content) -> None:
+    def restore(
+        self, installation: Installation, version: int, content
+    ) -> None:
         if version:
-            known.adopt_endpoints(entry_list(version, dict(content)), SOURCE)
+            installation.adopt_endpoints(
+                entry_list(version, dict(content)), SOURCE
+            )
 
     def messages(self):
         for version in range(1, NEWEST + 1):
             listed = entry_list(version, ENTRIES[version])
-            yield lambda known, e=listed: known.adopt_endpoints(e, SOURCE)
+            yield lambda installation, e=listed: installation.adopt_endpoints(
+                e, SOURCE
+            )
             for since in range(1, version):
                 changes = self._changes(since, version)
-                yield lambda known, c=changes: known.adopt_endpoint_changes(
-                    c, SOURCE
+                yield (
+                    lambda installation, c=changes: (
+                        installation.adopt_endpoint_changes(c, SOURCE)
+                    )
                 )
 
     def _changes(self, since: int, version: int) -> EndpointChanges:
-        """Returns all entries that were touched in between."""
-        touched: set[str] = set()
+        """Returns all entries that changed after one revision up to another."""
+        changed_names: set[str] = set()
         for step in range(since + 1, version + 1):
             before, after = ENTRIES[step - 1], ENTRIES[step]
-            touched |= {
+            changed_names |= {
                 name
                 for name in before | after
                 if before.get(name) != after.get(name)
             }
         now = ENTRIES[version]
-        present = {name: now[name] for name in touched if name in now}
+        present = {name: now[name] for name in changed_names if name in now}
         return EndpointChanges(
             since_revision=since,
             revision=version,
             changed=entry_list(version, present).endpoints,
-            removed=sorted(touched - now.keys()),
+            removed=sorted(changed_names - now.keys()),
         )
 
-    def read(self, known: Installation):
-        entries = {e.id: e.slots for e in known.list_endpoints().endpoints}
-        return known.endpoints_revision, tuple(sorted(entries.items()))
+    def read(self, installation: Installation):
+        entries = {
+            e.id: e.slots for e in installation.list_endpoints().endpoints
+        }
+        return installation.endpoints_revision, tuple(sorted(entries.items()))
 
-    def truth(self, version: int):
+    def expected_content(self, version: int):
         return tuple(sorted(ENTRIES[version].items()))
 
 
 def explore(model: ConfigModel | EndpointModel) -> int:
-    """Searches all states of two daemons; returns their number."""
+    """Explores all states of two daemons; returns their number."""
     messages = list(model.messages())
 
     def step(state: Daemons, number: int, message) -> Daemons:
-        known = Installation()
+        installation = Installation()
         version, content = state.versions[number], state.contents[number]
-        model.restore(known, version, content)
-        message(known)
-        return changed(state, number, model.read(known), state.versions[number])
+        model.restore(installation, version, content)
+        message(installation)
+        return changed(
+            state, number, model.read(installation), state.versions[number]
+        )
 
     def changed(state: Daemons, number: int, read, before: int) -> Daemons:
         versions, contents = [*state.versions], [*state.contents]
-        befores = [*state.before]
+        previous_versions = [*state.previous_versions]
         versions[number], contents[number] = read
-        befores[number] = before
+        previous_versions[number] = before
         return state._replace(
             versions=tuple(versions),
             contents=tuple(contents),
-            before=tuple(befores),
+            previous_versions=tuple(previous_versions),
         )
 
     def next_states(state: Daemons):
@@ -159,19 +177,27 @@
             for message in messages:
                 yield step(state, number, message)
             other = 1 - number
-            told = state.versions[other], state.contents[other]
-            yield step(state, number, lambda k, t=told: model.restore(k, *t))
-            if state.starts < 2:
-                blank = changed(state, number, (0, model.first), 0)
-                yield blank._replace(starts=state.starts + 1)
+            peer_state = state.versions[other], state.contents[other]
+            yield step(
+                state, number, lambda k, t=peer_state: model.restore(k, *t)
+            )
+            if state.restarts < 2:
+                restarted = changed(state, number, (0, model.initial), 0)
+                yield restarted._replace(restarts=state.restarts + 1)
 
     def check(state: Daemons) -> None:
         for number in (0, 1):
             version = state.versions[number]
-            if version < state.before[number]:
-                raise InvariantViolationError("a daemon went back")
-            if version and state.contents[number] != model.truth(version):
-                raise InvariantViolationError("a daemon has what never was")
+            if version < state.previous_versions[number]:
+                raise InvariantViolationError(
+                    "a daemon went back to an older version"
+                )
+            if version and state.contents[number] != model.expected_content(
+                version
+            ):
+                raise InvariantViolationError(
+                    "a daemon's content differs from the store's"
+                )
 
     async def run() -> int:
         with mock.patch.object(module, "log_event"):
@@ -187,39 +213,43 @@
     def test_endpoints(self):
         self.assertGreater(explore(EndpointModel()), 100)
 
-    def refuted(self, model, name, broken):
+    def assert_violation_found(self, model, name, faulty):
         with (
-            mock.patch.object(Installation, name, broken),
+            mock.patch.object(Installation, name, faulty),
             self.assertRaises(InvariantViolationError),
         ):
             explore(model)
 
-    def test_any_version_is_adopted(self):
+    def test_adopting_any_version_is_detected(self):
         def adopt(self, config, source):
             self.table = module.RouteTable(config=config)
             return True
 
-        self.refuted(ConfigModel(), "adopt_config", adopt)
+        self.assert_violation_found(ConfigModel(), "adopt_config", adopt)
 
-    def test_changes_of_any_version_are_applied(self):
+    def test_applying_changes_of_any_version_is_detected(self):
         def change(self, changes, source):
             if self.table is None or changes.version <= self.config_version:
                 return False
-            made = module.apply_config_changes(self.table.config, changes)
-            return self.adopt_config(made, source)
+            updated = module.apply_config_changes(self.table.config, changes)
+            return self.adopt_config(updated, source)
 
-        self.refuted(ConfigModel(), "adopt_config_changes", change)
+        self.assert_violation_found(
+            ConfigModel(), "adopt_config_changes", change
+        )
 
-    def test_changes_of_endpoints_over_a_gap_are_applied(self):
-        whole = Installation.adopt_endpoint_changes
+    def test_applying_endpoint_changes_over_a_gap_is_detected(self):
+        original = Installation.adopt_endpoint_changes
 
         def change(self, changes, source):
             if self.endpoints_revision:
-                known = self.endpoints_revision
-                changes.since_revision = min(changes.since_revision, known)
-            return whole(self, changes, source)
+                current = self.endpoints_revision
+                changes.since_revision = min(changes.since_revision, current)
+            return original(self, changes, source)
 
-        self.refuted(EndpointModel(), "adopt_endpoint_changes", change)
+        self.assert_violation_found(
+            EndpointModel(), "adopt_endpoint_changes", change
+        )
 
 
 if __name__ == "__main__":
--- a/tests/object_store/test_client.py
+++ b/tests/object_store/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the bounds of calls to the store."""
+"""Tests of the limits of calls to the store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @contextlib.asynccontextmanager
 async def open_store(members: int = 1, **settings):
-    """Opens a platform and a client of it."""
+    """Opens a platform and a client of its store."""
     async with open_platform() as platform, open_session() as session:
         values = PlatformSettings(url=platform.url, **settings)
         yield (
@@ -27,7 +27,7 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_rate_is_a_share_of_the_fleets(self):
+    def test_rate_is_a_share_of_the_fleet_rate(self):
         async def scenario():
             async with open_store(
                 members=10, fleet_writes_per_second=100, call_timeout_s=60
@@ -36,10 +36,10 @@
                 await asyncio.gather(*(store.put(str(n), n) for n in range(60)))
                 return monotonic_s() - started
 
-        # 40 writes a second are not for claims: 4 for each of ten daemons
+        # 40 writes per second are not for claims: 4 for each of 10 daemons
         self.assertAlmostEqual(run_virtual(scenario), 14, delta=0.1)
 
-    def test_concurrency_is_bounded_and_claims_go_first(self):
+    def test_concurrency_is_limited_and_claims_have_priority(self):
         async def scenario():
             async with open_store(max_concurrency=4) as (platform, store):
                 platform.delay_s = 1.0
@@ -49,18 +49,18 @@
                     await store.get("a", priority=priority)
                     ended.append(name)
 
-                group = [
+                tasks = [
                     asyncio.create_task(read("read", CallPriority.NORMAL))
                     for _ in range(3)
                 ]
                 await asyncio.sleep(0.1)
-                group += [
+                tasks += [
                     asyncio.create_task(read("claim", CallPriority.CLAIM))
                     for _ in range(2)
                 ]
                 await asyncio.sleep(0.1)
                 in_flight = platform.calls["get"]
-                await asyncio.gather(*group)
+                await asyncio.gather(*tasks)
                 return in_flight, ended
 
         in_flight, ended = run_virtual(scenario)
@@ -69,22 +69,22 @@
 
 
 class BreakerTest(unittest.TestCase):
-    def test_outage_of_an_hour(self):
+    def test_outage_of_one_hour(self):
         async def scenario(fault: str):
             async with open_store() as (platform, store):
                 await store.put("a", 1)
                 setattr(platform, fault, True)
                 before = sum(platform.calls.values())
-                waits = []
+                waits_s = []
                 for _ in range(3600):
-                    asked = monotonic_s()
+                    started = monotonic_s()
                     await store.get("a")
-                    waits.append(monotonic_s() - asked)
-                    await asyncio.sleep(max(0, 1 - waits[-1]))
+                    waits_s.append(monotonic_s() - started)
+                    await asyncio.sleep(max(0, 1 - waits_s[-1]))
                 calls = sum(platform.calls.values()) - before
                 setattr(platform, fault, False)
                 await asyncio.sleep(2)
-                return calls, sum(waits) / 3600, await store.get("a")
+                return calls, sum(waits_s) / 3600, await store.get("a")
 
         for fault in ("outage", "silent"):
             with self.subTest(fault):
@@ -95,7 +95,7 @@
                 self.assertLess(wait_s, 1.5)
                 self.assertEqual(read.ok.value, 1)
 
-    def test_too_many_calls_are_not_an_outage(self):
+    def test_rate_limited_calls_are_not_an_outage(self):
         async def scenario():
             async with open_store(calls_per_second=1000) as (platform, store):
                 platform.read_limiter.rate = platform.read_limiter.burst = 5
--- a/tests/platform/test_config_decoder.py
+++ b/tests/platform/test_config_decoder.py
@@ -1,4 +1,4 @@
-"""Decoding of the operators' configuration and the endpoints' entries."""
+"""Tests of decoding configurations, endpoint entries and requests."""
 
 from __future__ import annotations
 
@@ -52,29 +52,29 @@
         self.assertIsNone(decoded.services[1].engine)
         self.assertEqual(decoded.teams[0].caller_keys, ["key-1", "key-2"])
 
-    def test_fields_not_known_are_ignored(self):
-        made = make_config()
-        made["Routes"][0]["New"] = {"a": 1}
-        made["New"] = [1]
-        self.assertEqual(decode_config(made).version, 1)
+    def test_unknown_fields_are_ignored(self):
+        data = make_config()
+        data["Routes"][0]["New"] = {"a": 1}
+        data["New"] = [1]
+        self.assertEqual(decode_config(data).version, 1)
 
-    def test_split_traffic(self):
-        made = make_config()
-        del made["Routes"][1]["Service"]
-        made["Routes"][1]["TrafficSplit"] = [
+    def test_traffic_split(self):
+        data = make_config()
+        del data["Routes"][1]["Service"]
+        data["Routes"][1]["TrafficSplit"] = [
             {"Service": "a", "Weight": 90},
             {"Service": "b", "Weight": 10},
         ]
-        shares = decode_config(made).routes[1].shares
+        shares = decode_config(data).routes[1].shares
         self.assertEqual([s.weight for s in shares], [90, 10])
 
-    def test_entry(self):
+    def test_endpoint_entry(self):
         entry = decode_endpoint("i-1", ENTRY)
         self.assertEqual((entry.host, entry.port), ("10.0.0.1", 80))
         self.assertEqual(entry.cold_s, 1.5)
         self.assertTrue(entry.ready)
 
-    def test_entries_that_name_no_endpoint(self):
+    def test_entries_with_invalid_fields_are_rejected(self):
         for name in ("Service", "Address", "Zone", "Slots", "State"):
             for value in (None, [], {}, True, "resting"):
                 if name in ("Service", "Zone") and value == "resting":
@@ -87,7 +87,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(JSON)
-    def test_nothing_but_a_field_error_comes_of_strange_data(self, data):
+    def test_arbitrary_data_raises_only_field_errors(self, data):
         for decode in (
             decode_config,
             lambda value: decode_endpoint("i-1", value),
@@ -102,7 +102,7 @@
             method="POST", raw_path=b"/a/b", query=b"x=%20", headers=[*headers]
         )
 
-    def test_target_is_kept_as_sent(self):
+    def test_target_is_not_changed(self):
         self.assertEqual(self._decode().target, "/a/b?x=%20")
 
     def test_bad_numbers_count_as_absent(self):
@@ -112,7 +112,7 @@
         self.assertEqual(request.prompt_tokens, 0)
         self.assertIsNone(request.deadline_s)
 
-    def test_headers_of_one_connection_are_left_out(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         request = self._decode(
             ("connection", "keep-alive, X-Own"),
             ("x-own", "1"),
--- a/tests/platform/test_endpoint_client.py
+++ b/tests/platform/test_endpoint_client.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints on the wire, whole and broken."""
+"""Tests of complete and broken responses of endpoints."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class RawEndpoint:
-    """Writes the same bytes to each connection, then ends it.
+    """Endpoint that writes the same bytes to each connection and closes it.
 
     Attributes:
-        answer: Bytes that are written.
-        resets: The connection ends with a reset.
+        response: Bytes that are written.
+        resets: Whether the connection is closed with a TCP reset.
     """
 
-    def __init__(self, answer: bytes, *, resets: bool = False):
-        self.answer = answer
+    def __init__(self, response: bytes, *, resets: bool = False):
+        self.response = response
         self.resets = resets
         self.connections = 0
         self.ended = asyncio.Event()
@@ -41,9 +41,9 @@
         self.connections += 1
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(self.answer)
+            writer.write(self.response)
             await writer.drain()
-            await asyncio.sleep(0.05)  # so that the bytes come before the end
+            await asyncio.sleep(0.05)  # lets the bytes arrive before the close
             if self.resets:
                 linger = struct.pack("ii", 1, 0)
                 raw = writer.get_extra_info("socket")
@@ -54,7 +54,7 @@
 
 
 async def call(endpoint: RawEndpoint, *, read_after_end: bool = False):
-    """Returns the outcome of one call and what its body reads as."""
+    """Returns the outcome of one call and its body."""
     server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     entry = EndpointEntry(id="i-1", host="127.0.0.1", port=port)
@@ -73,85 +73,85 @@
         body = None
         if read_after_end:
             await endpoint.ended.wait()
-            await asyncio.sleep(0.02)  # so that the end has arrived
+            await asyncio.sleep(0.02)  # lets the close arrive
         if isinstance(outcome, ResponseHead):
             body = await outcome.read_all()
         await endpoint.ended.wait()
         return outcome, body
 
 
-class AnswerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_body_that_ends_with_its_connection(self):
+class ResponseTest(unittest.IsolatedAsyncioTestCase):
+    async def test_body_delimited_by_the_end_of_the_connection(self):
         _, body = await call(RawEndpoint(HEAD + b"\r\nwhole"))
         self.assertEqual(body, b"whole")
 
-    async def test_body_without_length_that_is_reset_is_not_whole(self):
+    async def test_reset_body_without_length_is_broken(self):
         _, body = await call(RawEndpoint(HEAD + b"\r\npart", resets=True))
         self.assertIsInstance(body, BrokenResponse)
 
-    async def test_chunks_that_are_cut(self):
+    async def test_truncated_chunked_body_is_broken(self):
         head = HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"
         for resets in (False, True):
             _, body = await call(RawEndpoint(head, resets=resets))
             self.assertIsInstance(body, BrokenResponse)
 
-    async def test_length_that_is_not_reached(self):
+    async def test_body_shorter_than_its_length_is_broken(self):
         head = HEAD + b"Content-Length: 9\r\n\r\nshort"
         for resets in (False, True):
             _, body = await call(RawEndpoint(head, resets=resets))
             self.assertIsInstance(body, BrokenResponse)
 
-    async def test_second_answer_belongs_to_nothing(self):
-        answer = HEAD + b"Content-Length: 2\r\n\r\nok"
-        _, body = await call(RawEndpoint(answer + answer))
+    async def test_second_response_is_ignored(self):
+        response = HEAD + b"Content-Length: 2\r\n\r\nok"
+        _, body = await call(RawEndpoint(response + response))
         self.assertEqual(body, b"ok")
 
-    async def test_torn_bytes_after_an_answer_belong_to_nothing(self):
-        answer = HEAD + b"Content-Length: 2\r\n\r\nok"
-        _, body = await call(RawEndpoint(answer + b"torn"))
+    async def test_surplus_bytes_after_a_response_are_ignored(self):
+        response = HEAD + b"Content-Length: 2\r\n\r\nok"
+        _, body = await call(RawEndpoint(response + b"torn"))
         self.assertEqual(body, b"ok")
 
-    async def test_whole_answer_is_kept_when_its_connection_is_reset(self):
-        answer = HEAD + b"Content-Length: 2\r\n\r\nok"
-        endpoint = RawEndpoint(answer, resets=True)
+    async def test_complete_response_is_kept_after_a_reset(self):
+        response = HEAD + b"Content-Length: 2\r\n\r\nok"
+        endpoint = RawEndpoint(response, resets=True)
         _, body = await call(endpoint, read_after_end=True)
         self.assertEqual(body, b"ok")
 
-    async def test_first_answer_counts_after_an_interim_one(self):
-        answer = b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD
+    async def test_response_after_an_interim_one_is_used(self):
+        response = b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD
         _, body = await call(
-            RawEndpoint(answer + b"Content-Length: 2\r\n\r\nok")
+            RawEndpoint(response + b"Content-Length: 2\r\n\r\nok")
         )
         self.assertEqual(body, b"ok")
 
-    async def test_body_larger_than_what_is_kept_unread(self):
+    async def test_body_larger_than_the_unread_limit(self):
         body = b"x" * (4 * MAX_UNREAD_BYTES)
         head = HEAD + b"Content-Length: %d\r\n\r\n" % len(body)
         _, read = await call(RawEndpoint(head + body))
         self.assertEqual(read, body)
 
-    async def test_no_answer_at_all(self):
-        for answer in (b"", b"HTTP/1.1 200", b"\x00\x01 no answer\r\n\r\n"):
-            endpoint = RawEndpoint(answer)
+    async def test_missing_or_invalid_response_is_broken(self):
+        for response in (b"", b"HTTP/1.1 200", b"\x00\x01 no answer\r\n\r\n"):
+            endpoint = RawEndpoint(response)
             outcome, _ = await call(endpoint)
             self.assertIsInstance(outcome, BrokenResponse)
-            self.assertEqual(endpoint.connections, 1)  # not sent again
+            self.assertEqual(endpoint.connections, 1)  # not retried
 
-    async def test_refusal_as_not_run(self):
+    async def test_refusal_as_not_executed(self):
         outcome, _ = await call(RawEndpoint(REFUSED))
         self.assertIsInstance(outcome, RequestNotExecuted)
 
-    async def test_encoded_unsigned_and_foreign_answers(self):
+    async def test_encoded_unsigned_and_foreign_responses_are_broken(self):
         for head in (
             HEAD + b"Content-Encoding: gzip\r\n",
             HEAD.replace(b"X-Response-Seal", b"X-Other"),
             HEAD.replace(b"r1", b"r2"),
         ):
-            answer = head + b"Content-Length: 1\r\n\r\nx"
-            outcome, _ = await call(RawEndpoint(answer))
+            response = head + b"Content-Length: 1\r\n\r\nx"
+            outcome, _ = await call(RawEndpoint(response))
             self.assertIsInstance(outcome, BrokenResponse)
 
-    async def test_nobody_listens(self):
+    async def test_refused_connection(self):
         entry = EndpointEntry(id="i-1", host="127.0.0.1", port=1)
         request = decode_request(
             method="GET", raw_path=b"/", query=b"", headers=[]
--- a/tests/platform/test_protocol.py
+++ b/tests/platform/test_protocol.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its adapter."""
+"""Tests that the platform's names occur only in its adapter."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class NamesTest(unittest.TestCase):
-    def test_no_name_outside_the_adapter(self):
+    def test_no_platform_name_outside_the_adapter(self):
         found = []
         for path in SOURCE.rglob("*.py"):
             inside = path.relative_to(SOURCE).parts[0] in ALLOWED
@@ -26,7 +26,7 @@
                 found.append(str(path.relative_to(SOURCE)))
         self.assertEqual(found, [])
 
-    def test_the_check_finds_a_name(self):
+    def test_pattern_matches_a_platform_name(self):
         self.assertTrue(NAMES.search("headers['x-attempt-id']"))
 
 
