--- a/src/auburnswitch/claims/shard_writer.py
+++ b/src/auburnswitch/claims/shard_writer.py
@@ -174,7 +174,7 @@
     async def _run(self) -> None:
         delay_s = INITIAL_RETRY_DELAY_S
         while self.queue:
-            await self._pace()
+            await self._wait_for_rate_limit()
             batch = self.queue[:MAX_BATCH_CHANGES]
             self.queue = self.queue[MAX_BATCH_CHANGES:]
             failure = await self._commit(batch)
@@ -185,7 +185,7 @@
             await self._back_off(delay_s)
             delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
 
-    async def _pace(self) -> None:
+    async def _wait_for_rate_limit(self) -> None:
         """Waits until the shard's rate limit allows a write."""
         while (wait_s := self.bucket.wait_s()) > 0:
             await asyncio.sleep(wait_s)
@@ -205,19 +205,19 @@
 
     def _fail(self, batch: list[PendingChange], reason: str) -> None:
         now_s = self.clock.now_s()
-        kept: list[PendingChange] = []
+        retained: list[PendingChange] = []
         for pending in batch:
             claim = pending.change.claim
             if claim.expires_at < now_s:
                 pending.resolve(ClaimUnavailable(reason="the claim expired"))
             elif not isinstance(pending.change, AddClaim):
-                kept.append(pending)
+                retained.append(pending)
             else:
                 pending.resolve(ClaimUnavailable(reason=reason))
                 if pending.written and not pending.for_peer:
                     drop = DropClaim(claim=claim)
-                    kept.append(PendingChange(change=drop))
-        self.queue = kept + self.queue
+                    retained.append(PendingChange(change=drop))
+        self.queue = retained + self.queue
 
     async def _commit(self, batch: list[PendingChange]) -> str | None:
         """Commits a batch; returns the reason of a failure, or None."""
--- a/src/auburnswitch/configuration/installation_watcher.py
+++ b/src/auburnswitch/configuration/installation_watcher.py
@@ -108,10 +108,10 @@
         """Makes one call and adopts its result."""
         revision = self._revisions.get(kind)
         if revision is None:
-            answer = await self.store.list_kind(kind)
+            result = await self.store.list_kind(kind)
         else:
-            answer = await self.store.watch(kind, revision)
-        match answer:
+            result = await self.store.watch(kind, revision)
+        match result:
             case StoreFailure(reason=reason):
                 self._record_failure(kind, reason)
                 self._revisions.pop(kind, None)
@@ -122,10 +122,10 @@
             case Listing():
                 self._record_success(kind)
         if revision is None:
-            self._adopt_list(kind, answer)
+            self._adopt_list(kind, result)
         else:
-            self._adopt_changes(kind, answer)
-        self._revisions[kind] = answer.revision
+            self._adopt_changes(kind, result)
+        self._revisions[kind] = result.revision
         return True
 
     def _record_failure(self, kind: str, reason: str) -> None:
--- a/src/auburnswitch/configuration/ticket_poller.py
+++ b/src/auburnswitch/configuration/ticket_poller.py
@@ -115,7 +115,7 @@
             included = max(included, ticket.number)
             state.join_ticket(ticket)
     except SchemaError:
-        return None  # keep tickets that cannot be decoded
+        return None  # never delete tickets that cannot be decoded
     folded = state.snapshot()
     folded.included_through = included
     return folded
--- a/src/auburnswitch/platform/endpoint_client.py
+++ b/src/auburnswitch/platform/endpoint_client.py
@@ -171,11 +171,21 @@
             yield outcome
 
     async def reserve(
-        self, endpoint: EndpointEntry, *, key: str, tokens: int, hold_ms: int
+        self, endpoint: EndpointEntry, *, key: str, tokens: int, lease_ms: int
     ) -> bool:
-        """Reserves memory, or renews the reservation with the same key."""
+        """Reserves memory, or renews the reservation with the same key.
+
+        Args:
+            endpoint: Endpoint at which the memory is reserved.
+            key: Key of the reservation.
+            tokens: Size of the reserved memory, in tokens.
+            lease_ms: Duration of the reservation without renewal, in ms.
+
+        Returns:
+            Whether the endpoint granted it; False if the call failed.
+        """
         order = {"Op": "reserve", "Id": key, "Tokens": tokens}
-        return await self._send_order(endpoint, {**order, "HoldMs": hold_ms})
+        return await self._send_order(endpoint, {**order, "HoldMs": lease_ms})
 
     async def release(self, endpoint: EndpointEntry, *, key: str) -> bool:
         """Releases a reservation."""
--- a/src/auburnswitch/platform/store_client.py
+++ b/src/auburnswitch/platform/store_client.py
@@ -93,10 +93,10 @@
         objects: list[StoredObject] = []
         query = ""
         while True:
-            answer = await self._call("GET", f"/{kind}{query}")
-            match answer:
+            result = await self._call("GET", f"/{kind}{query}")
+            match result:
                 case StoreFailure():
-                    return answer
+                    return result
                 case (status, body) if status == _HTTP_OK:
                     page = _decode_objects(body.get("Items"))
                 case (status, _):
@@ -117,10 +117,10 @@
         """
         wait_s = self.settings.watch_wait_s
         query = f"?Watch={revision}&WaitMs={int(wait_s * _MS_PER_S)}"
-        answer = await self._call("GET", f"/{kind}{query}", wait_s=wait_s)
-        match answer:
+        result = await self._call("GET", f"/{kind}{query}", wait_s=wait_s)
+        match result:
             case StoreFailure():
-                return answer
+                return result
             case (status, _) if status == _HTTP_GONE:
                 return RevisionExpired()
             case (status, body) if status == _HTTP_OK:
@@ -154,10 +154,10 @@
     async def _write(
         self, method: str, path: str, name: str, data: Any
     ) -> StoredObject | Conflict | StoreFailure:
-        answer = await self._call(method, path, data=data)
-        match answer:
+        result = await self._call(method, path, data=data)
+        match result:
             case StoreFailure():
-                return answer
+                return result
             case (status, _) if status in (_HTTP_OK, _HTTP_CREATED):
                 return StoredObject(name=name, body=data and data["Spec"])
             case (status, _) if status == _HTTP_CONFLICT:
@@ -185,8 +185,8 @@
                     body=body,
                 )
                 head = await exchange.read_head()
-                answer = await exchange.read_all()
-            return head.status_code, _decode(answer)
+                response_body = await exchange.read_all()
+            return head.status_code, _decode(response_body)
         except TimeoutError:
             return StoreFailure(reason="the call timed out")
         except (ConnectError, ExchangeError, ValueError) as error:
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -108,7 +108,7 @@
         answers = await asyncio.gather(
             *(
                 self.calls.reserve(
-                    e, key=key, tokens=tokens, hold_ms=RESERVATION_LEASE_MS
+                    e, key=key, tokens=tokens, lease_ms=RESERVATION_LEASE_MS
                 )
                 for e in endpoints
             )
