--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -138,7 +138,7 @@
         """
         now = monotonic_s()
         load = self.load.by_endpoint[endpoint.entry.id]
-        load_report = await self.calls.report(endpoint.entry)
+        load_report = await self.calls.fetch_load(endpoint.entry)
         if load_report is None:
             self._next_at[endpoint.entry.id] = now + OBSERVE_INTERVAL_S
             return None
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -107,7 +107,7 @@
         grants = await asyncio.gather(
             *(
                 self.calls.reserve(
-                    e, key=key, tokens=tokens, hold_ms=RESERVATION_LEASE_MS
+                    e, key=key, tokens=tokens, lease_ms=RESERVATION_LEASE_MS
                 )
                 for e in endpoints
             )
