--- a/src/auburnswitch/endpoints/orphans.py
+++ b/src/auburnswitch/endpoints/orphans.py
@@ -193,7 +193,9 @@
             )
         status = view.peers.get(key.member_id)
         oldest = monotonic_s() - view.settings.suspect_after_s
-        heard_recently = status is not None and status.last_received_at >= oldest
+        heard_recently = (
+            status is not None and status.last_received_at >= oldest
+        )
         if heard_recently:
             return await self._is_disclaimed(ledger, key)
         if key.member_id in view.roster_ids():
--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -179,7 +179,8 @@
             and not endpoint_manager.is_unschedulable(name)
             and endpoint_manager.latest_hint(name).phase
             not in UNSCHEDULABLE_PHASES
-            and endpoint_manager.latest_hint(name).phase not in LEASE_REQUIRED_PHASES
+            and endpoint_manager.latest_hint(name).phase
+            not in LEASE_REQUIRED_PHASES
         ]
 
     def _choose_group(
