--- a/src/auburnswitch/standins/__main__.py
+++ b/src/auburnswitch/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a process of its own."""
+"""Runs one stand-in in its own process."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
         Args:
             host: IP address to listen on.
-            port: TCP port to listen on; 0 takes a free one.
+            port: TCP port to listen on; 0 selects a free port.
             **options: Options of `PlatformStandIn`.
         """
         _run(open_platform(host=host, port=port, **options))
@@ -50,7 +50,7 @@
 
         Args:
             host: IP address to listen on.
-            port: TCP port to listen on; 0 takes a free one.
+            port: TCP port to listen on; 0 selects a free port.
             name: Name of the engine.
             **options: Fields of `EngineOptions`.
         """
@@ -67,11 +67,11 @@
 
         Args:
             host: IP address to listen on.
-            port: TCP port to listen on; 0 takes a free one.
+            port: TCP port to listen on; 0 selects a free port.
             name: Name of the service.
             **options: Options of `PlainServiceStandIn`.
         """
-        options.setdefault("incarnation", _incarnation())
+        options.setdefault("incarnation", _new_incarnation())
         _run(open_plain_service(host=host, port=port, name=name, **options))
 
     def weights(
@@ -81,7 +81,7 @@
 
         Args:
             host: IP address to listen on.
-            port: TCP port to listen on; 0 takes a free one.
+            port: TCP port to listen on; 0 selects a free port.
             **options: Options of `WeightStoreStandIn`.
         """
         _run(open_weight_store(host=host, port=port, **options))
@@ -99,30 +99,32 @@
             name=name,
             options=options,
             session=session,
-            incarnation=_incarnation(),
+            incarnation=_new_incarnation(),
         ) as engine,
     ):
         yield engine
 
 
-def _incarnation() -> str:
+def _new_incarnation() -> str:
     return uuid.uuid4().hex[:8] + "-"
 
 
-def _run(opening: contextlib.AbstractAsyncContextManager[Any]) -> None:
+def _run(standin_context: contextlib.AbstractAsyncContextManager[Any]) -> None:
     logging.basicConfig(level=logging.WARNING)
     try:
-        asyncio.run(_serve(opening))
+        asyncio.run(_serve(standin_context))
     except ListenError as error:
         sys.exit(str(error))
 
 
-async def _serve(opening: contextlib.AbstractAsyncContextManager[Any]) -> None:
+async def _serve(
+    standin_context: contextlib.AbstractAsyncContextManager[Any],
+) -> None:
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    async with opening as standin:
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
+    async with standin_context as standin:
         print(standin.url, flush=True)
         await stopped.wait()
 
--- a/src/auburnswitch/standins/answers.py
+++ b/src/auburnswitch/standins/answers.py
@@ -1,8 +1,9 @@
 """Deterministic answers, which a checker can compute from the prompt.
 
-An answer's token `i` depends on the whole prompt and on `i` alone. The digest
-of a prompt can be continued segment by segment, so that an engine that holds
-only the last segment of a long prompt gives the answer to the whole of it.
+Token `i` of an answer depends only on the complete prompt and on `i`. The
+digest of a prompt can be extended segment by segment, so that an engine that
+receives only the last segment of a long prompt generates the same answer as for
+the complete prompt.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
     Args:
         prompt: The prompt, or its next segment.
-        previous: Digest of the segments before.
+        previous: Digest of the preceding segments.
 
     Returns:
         Sixteen hexadecimal digits.
@@ -36,23 +37,23 @@
 
 
 def answer_token(digest: str, index: int) -> str:
-    """Returns one token of an answer, four characters of ASCII.
+    """Returns one token of an answer, which has four ASCII characters.
 
     Args:
-        digest: Digest of the whole prompt.
-        index: Position in the whole answer, from 0.
+        digest: Digest of the complete prompt.
+        index: Position in the complete answer, from 0.
     """
     mixed = zlib.crc32(f"{digest}/{index}".encode())
     return f"{mixed & _TOKEN_MASK:03x} "
 
 
 def answer_text(digest: str, count: int, first: int = 0) -> str:
-    """Returns `count` tokens of an answer from the token `first` on."""
+    """Returns `count` tokens of an answer, starting at token `first`."""
     return "".join(answer_token(digest, first + i) for i in range(count))
 
 
 def chat_prompt(messages: Sequence[dict[str, Any]]) -> str:
-    """Returns the prompt that an engine makes from chat messages."""
+    """Returns the prompt that an engine builds from chat messages."""
     return "".join(
         f"{message.get('role', '')}: {message.get('content', '')}\n"
         for message in messages
@@ -60,7 +61,7 @@
 
 
 def count_tokens(text: str) -> int:
-    """Returns how many tokens a text has, the last one perhaps partial."""
+    """Returns the number of tokens in a text, counting a partial last token."""
     return -(-len(text.encode()) // BYTES_PER_TOKEN)
 
 
--- a/src/auburnswitch/standins/caller_headers.py
+++ b/src/auburnswitch/standins/caller_headers.py
@@ -1,4 +1,4 @@
-"""What callers of the platform send, and what they look for in answers."""
+"""Request headers of the platform's callers and checks of response headers."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
     Args:
         request_id: Id of this attempt.
-        key: The caller's key.
-        deadline_ms: Time that the caller waits.
-        tokens: Prompt and answer tokens, empty for a plain request.
+        key: The caller's API key.
+        deadline_ms: Time that the caller waits, in milliseconds.
+        tokens: Value of the `X-Token-Counts` header, which gives the prompt
+            and answer tokens; empty for a plain request.
     """
     headers = {
         "Host": HOST,
@@ -33,7 +34,7 @@
 
 
 def is_signed(headers: Mapping[str, str]) -> bool:
-    """Whether an endpoint signed an answer."""
+    """Returns whether response headers carry an endpoint's signature."""
     return "x-response-seal" in headers
 
 
--- a/src/auburnswitch/standins/control.py
+++ b/src/auburnswitch/standins/control.py
@@ -1,4 +1,4 @@
-"""The control endpoint that sets a stand-in's switches from outside."""
+"""HTTP routes that set a stand-in's switches and return its history."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class Controllable(Protocol):
-    """A stand-in with switches."""
+    """A stand-in whose switches can be set by name."""
 
     history: History
 
     def apply_control(self, switches: dict[str, Any]) -> None:
-        """Sets switches by name; raises ValueError for one it lacks."""
+        """Sets switches by name; raises ValueError for an unknown one."""
 
 
 def set_switches(
     target: object, switches: dict[str, Any], allowed: frozenset[str]
 ) -> None:
-    """Sets attributes of a stand-in after checking names and types.
+    """Sets attributes of a stand-in after validating names and types.
 
     Args:
         target: The stand-in.
@@ -34,13 +34,13 @@
         allowed: Attributes that may be set.
 
     Raises:
-        ValueError: A name is not allowed or a value has a wrong type.
+        ValueError: A name is not allowed or a value has the wrong type.
     """
     for name, value in switches.items():
         if name not in allowed:
             raise ValueError(f"unknown switch: {name}")
-        present = getattr(target, name)
-        if isinstance(present, bool) != isinstance(value, bool):
+        current = getattr(target, name)
+        if isinstance(current, bool) != isinstance(value, bool):
             raise ValueError(f"wrong type of switch: {name}")
         if not isinstance(value, bool | int | float):
             raise ValueError(f"wrong type of switch: {name}")
--- a/src/auburnswitch/standins/endpoint.py
+++ b/src/auburnswitch/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in for an endpoint of the platform, with faults on demand."""
+"""A stand-in for an endpoint of the platform, with injectable faults."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 
 
 class Fault(enum.Enum):
-    """What an endpoint does wrong with one request."""
+    """A fault that an endpoint applies to one request."""
 
     NONE = "none"
-    NOT_EXECUTED = "refuses it as not run"
-    SERVER_ERROR = "answers 500"
-    DISCONNECT = "closes the connection before it answers"
+    NOT_EXECUTED = "responds 503 and marks the request as not executed"
+    SERVER_ERROR = "responds 500"
+    DISCONNECT = "closes the connection before the response"
     DISCONNECT_MID_EVENT = "closes the connection in the middle of an event"
-    WRONG_REQUEST_ID = "answers with the id of another request"
-    UNSIGNED = "answers without a signature"
-    NO_RESPONSE = "never answers"
+    WRONG_REQUEST_ID = "responds with the id of another request"
+    UNSIGNED = "responds without a signature"
+    NO_RESPONSE = "never responds"
 
 
 class AbortConnectionError(Exception):
-    """Makes the server close the connection."""
+    """Raised to make the server close the connection."""
 
 
 @dataclass(slots=True, kw_only=True)
 class ReceivedRequest:
-    """A request that came to the endpoint.
+    """A request that the endpoint received.
 
     Attributes:
-        headers: Its headers.
+        headers: Request headers.
         target: Path and query.
-        body: Its body.
-        ran: The endpoint worked on it.
+        body: Request body.
+        ran: Whether the endpoint executed the request.
     """
 
     headers: dict[str, str]
@@ -51,24 +51,25 @@
 
     @property
     def request_id(self) -> str:
-        """Id of the caller's attempt, empty if it has none."""
+        """Id of the caller's attempt, empty if the header is absent."""
         return self.headers.get("x-attempt-id", "")
 
 
 class EndpointStandIn:
-    """Answers requests as an endpoint does.
+    """Serves requests, memory orders and load reports as an endpoint does.
 
     Attributes:
         id: The endpoint's id.
-        event_count: Events of a streamed answer.
-        event_interval_s: Time between two of them.
-        faults: What goes wrong with the next requests, in their order.
-        received_requests: Requests so far.
-        reservations: Reserved tokens by key.
+        event_count: Number of events in a streamed answer.
+        event_interval_s: Time between two events.
+        faults: Faults of the next requests, in order of arrival.
+        received_requests: All requests received, misdirected ones included.
+        reservations: Reserved tokens by reservation key.
         capacity_tokens: Memory that can be reserved.
-        client_disconnects: Streams whose caller left before their end.
-        running: Requests that it works on.
-        slowdown: Time that its work takes, relative to the usual.
+        client_disconnects: Number of streams whose client disconnected before
+            the end.
+        running: Number of requests in progress.
+        slowdown: Reported execution time relative to the normal one.
     """
 
     def __init__(self, *, endpoint_id: str, event_count: int = 5) -> None:
@@ -91,25 +92,27 @@
         if scope["type"] != "http":
             return
         headers = {k.decode(): v.decode() for k, v in scope["headers"]}
-        body = await _read(receive)
+        body = await _read_body(receive)
         if scope["path"] == "/v1/order":
-            await self._order(json.loads(body), send)
+            await self._apply_order(json.loads(body), send)
             return
         if scope["path"] == "/v1/report":
-            await self._report(send)
+            await self._send_report(send)
             return
         fault = self.faults.popleft() if self.faults else Fault.NONE
         expected = headers.get("x-expect-instance", self.id)
-        wrong = expected != self.id
-        arrival = ReceivedRequest(
+        misdirected = expected != self.id
+        received = ReceivedRequest(
             headers=headers,
             target=scope["raw_path"].decode(),
             body=body,
-            ran=not wrong and fault is not Fault.NOT_EXECUTED,
+            ran=not misdirected and fault is not Fault.NOT_EXECUTED,
         )
-        self.received_requests.append(arrival)
-        if wrong:
-            await _answer(send, 421, [(b"x-instance-id", self.id.encode())])
+        self.received_requests.append(received)
+        if misdirected:
+            await _send_response(
+                send, 421, [(b"x-instance-id", self.id.encode())]
+            )
             return
         self.running += 1
         try:
@@ -125,30 +128,37 @@
         send: Send,
     ) -> None:
         request_id = headers.get("x-attempt-id", "").encode()
-        signed = [
+        signed_headers = [
             (b"x-attempt-id", request_id),
             (b"x-response-seal", SIGNATURE),
         ]
         match fault:
             case Fault.NOT_EXECUTED:
-                await _answer(send, 503, [(b"x-not-executed", b"1")])
+                await _send_response(send, 503, [(b"x-not-executed", b"1")])
             case Fault.SERVER_ERROR:
-                await _answer(send, 500, signed, b"failed")
+                await _send_response(send, 500, signed_headers, b"failed")
             case Fault.DISCONNECT:
                 raise AbortConnectionError
             case Fault.NO_RESPONSE:
                 while (await receive())["type"] != "http.disconnect":
                     pass
             case Fault.WRONG_REQUEST_ID:
-                other = [(b"x-attempt-id", b"0000"), signed[1]]
-                await _answer(send, 200, other, b"for another request")
+                mismatched_headers = [
+                    (b"x-attempt-id", b"0000"),
+                    signed_headers[1],
+                ]
+                await _send_response(
+                    send, 200, mismatched_headers, b"for another request"
+                )
             case Fault.UNSIGNED:
-                await _answer(send, 200, signed[:1], b"unsigned")
+                await _send_response(send, 200, signed_headers[:1], b"unsigned")
             case _ if "x-token-counts" in headers:
                 first = int(headers.get("last-event-id", "0")) + 1
-                await self._stream(first, fault, signed, receive, send)
+                await self._stream(first, fault, signed_headers, receive, send)
             case _:
-                await _answer(send, 200, signed, b"answer of " + request_id)
+                await _send_response(
+                    send, 200, signed_headers, b"answer of " + request_id
+                )
 
     async def _stream(
         self,
@@ -158,33 +168,33 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        kind = (b"content-type", b"text/event-stream")
+        content_type = (b"content-type", b"text/event-stream")
         start = {"type": "http.response.start", "status": 200}
-        await send({**start, "headers": [*headers, kind]})
-        gone = asyncio.ensure_future(receive())
+        await send({**start, "headers": [*headers, content_type]})
+        disconnected = asyncio.ensure_future(receive())
         for number in range(first, self.event_count + 1):
-            if gone.done():
+            if disconnected.done():
                 self.client_disconnects += 1
                 return
             event = f"id: {number}\ndata: {self.id} {number}\n\n".encode()
             if fault is Fault.DISCONNECT_MID_EVENT and number == first + 1:
                 event = event[: len(event) // 2]
-            await _send_part(send, event)
+            await _send_chunk(send, event)
             if fault is Fault.DISCONNECT_MID_EVENT and number == first + 1:
-                gone.cancel()
+                disconnected.cancel()
                 raise AbortConnectionError
             await asyncio.sleep(self.event_interval_s)
-        gone.cancel()
+        disconnected.cancel()
         await send({"type": "http.response.body", "body": b""})
 
     def expire_reservations(self) -> None:
-        """Ends the reservations that were not renewed in time."""
+        """Removes reservations that were not renewed before they expired."""
         now = asyncio.get_running_loop().time()
         for key in [*self.reservations]:
             if self._expires_at[key] < now:
                 del self.reservations[key]
 
-    async def _report(self, send: Send) -> None:
+    async def _send_report(self, send: Send) -> None:
         self.expire_reservations()
         report = {
             "Running": self.running,
@@ -192,27 +202,27 @@
             "KvUsed": sum(self.reservations.values()),
             "pace": self.slowdown,
         }
-        await _answer(send, 200, [], json.dumps(report).encode())
+        await _send_response(send, 200, [], json.dumps(report).encode())
 
-    async def _order(self, order: dict[str, object], send: Send) -> None:
+    async def _apply_order(self, order: dict[str, object], send: Send) -> None:
         key = str(order["Id"])
         self.expire_reservations()
         if order["Op"] == "release":
             self.reservations.pop(key, None)
-            await _answer(send, 200, [])
+            await _send_response(send, 200, [])
             return
         tokens = int(str(order["Tokens"]))
-        others = sum(v for k, v in self.reservations.items() if k != key)
-        granted = others + tokens <= self.capacity_tokens
+        other_tokens = sum(v for k, v in self.reservations.items() if k != key)
+        granted = other_tokens + tokens <= self.capacity_tokens
         if granted:
             self.reservations[key] = tokens
             hold_s = int(str(order["HoldMs"])) / _MS_PER_S
             now = asyncio.get_running_loop().time()
             self._expires_at[key] = now + hold_s
-        await _answer(send, 200 if granted else 409, [])
+        await _send_response(send, 200 if granted else 409, [])
 
 
-async def _read(receive: Receive) -> bytes:
+async def _read_body(receive: Receive) -> bytes:
     body = b""
     while True:
         message = await receive()
@@ -221,11 +231,11 @@
             return body
 
 
-async def _send_part(send: Send, data: bytes) -> None:
+async def _send_chunk(send: Send, data: bytes) -> None:
     await send({"type": "http.response.body", "body": data, "more_body": True})
 
 
-async def _answer(
+async def _send_response(
     send: Send,
     status: int,
     headers: list[tuple[bytes, bytes]],
--- a/src/auburnswitch/standins/engine.py
+++ b/src/auburnswitch/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in of a model engine."""
+"""A stand-in for a model engine."""
 
 from __future__ import annotations
 
@@ -29,29 +29,29 @@
 
 
 class EngineStandIn:
-    """An engine with batches, a prefix cache and a cold state.
+    """An engine with continuous batching, a prefix cache and a cold state.
 
     Attributes:
-        name: Actor in the history.
-        history: Where it records what it does.
+        name: Actor name in the history.
+        history: Receives the engine's records.
         options: Limits and service times; those of the cold state, of faults
-            and of service times may be changed while it runs.
-        session: Client for checking KV caches of other engines, or None to
-            trust them.
-        pause: While it lasts, the engine does nothing.
-        batch: Jobs that wait or run.
+            and of service times may be changed while the engine runs.
+        session: HTTP client that checks whether KV caches exist at other
+            engines, or None to skip the check.
+        pause: Suspends the engine while active.
+        batch: Waiting and running jobs.
         recorder: Writes to the history.
-        job_table: Streams and KV caches that callers can name.
-        cold_state: The cold state.
-        cache: Prefix blocks.
-        order_state: What orders have set.
-        incarnation: Part of boot ids that tells processes apart.
+        job_table: Streams and KV caches that callers can address by id.
+        cold_state: Tracks whether the engine is cold.
+        cache: Cached prefix blocks.
+        order_state: State that orders have set.
+        incarnation: Part of boot ids that distinguishes processes.
         boot_id: Changes with every start.
-        load: Load reports, read with their lag.
+        load: Load reports, which readers get with a lag.
     """
 
     __slots__ = (
-        "_boots",
+        "_boot_count",
         "_leaving",
         "_listener",
         "batch",
@@ -106,7 +106,7 @@
             load_s=self.options.model_load_s,
         )
         self._leaving = False
-        self._boots = 0
+        self._boot_count = 0
         self._listener: Listener | None = None
         self.load: LaggedValue[LoadReport] = LaggedValue(
             lag_s=self.options.load_lag_s
@@ -121,7 +121,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the engine says that it is leaving."""
+        """Whether the engine reports that it is leaving."""
         return self._leaving
 
     @leaving.setter
@@ -131,25 +131,28 @@
 
     @property
     def cold(self) -> bool:
-        """Whether the engine bears only a small load."""
+        """Whether the engine is cold and tolerates only a small load."""
         return self.cold_state.cold
 
     def turn_cold(self) -> None:
-        """Turns cold without any announcement."""
+        """Turns the engine cold without reporting it to callers."""
         self.cold_state.turn_cold()
         self.recorder.record(HistoryKind.TURNED_COLD)
 
     def freeze(self, seconds: float) -> None:
-        """Stops doing anything for a time; connections stay open."""
+        """Suspends the engine for some seconds; connections stay open."""
         self.pause.extend(seconds)
 
     def drop_connections(self) -> None:
-        """Breaks every connection; streams go on and can be resumed."""
+        """Aborts all connections; streams continue and can be resumed."""
         if self._listener is not None:
             self._listener.abort_connections()
 
     def crash(self, cause: str = "switch") -> None:
-        """Drops connections, memory and streams, and restarts later."""
+        """Loses connections, memory and streams, and restarts after a delay.
+
+        The delay is `options.restart_s`.
+        """
         self.recorder.record_crash(cause, self.boot_id)
         if self._listener is not None:
             self._listener.stop_for(
@@ -165,11 +168,11 @@
         self._boot()
 
     def apply_control(self, switches: dict[str, Any]) -> None:
-        """Sets switches by name and runs the actions among them."""
+        """Sets switches by name and runs the requested actions."""
         apply_engine_control(self, switches)
 
     def submit(self, job: Job) -> None:
-        """Takes a job, or crashes if it is too much for a cold engine."""
+        """Queues a job, and crashes if the engine is cold and overloaded."""
         self.recorder.record_start(job, cold=self.cold, leaving=self.leaving)
         self.job_table.add(job)
         self.batch.submit(job)
@@ -177,29 +180,29 @@
             self.crash("cold overload")
 
     def cancel(self, job: Job) -> None:
-        """Cancels a job, or frees its KV cache."""
+        """Cancels an active job or frees a retained KV cache."""
         self.job_table.remove(job)
         if job.active or job.kv_retained:
             self.batch.cancel(job)
 
     def apply_order(self, order: Order) -> bool:
-        """Carries out an order; returns whether it was taken."""
-        taken = self.order_state.apply(order, self._on_model_loaded)
-        self.recorder.record_order(order, taken=taken)
-        return taken
+        """Applies an order; returns whether it was accepted."""
+        accepted = self.order_state.apply(order, self._on_model_loaded)
+        self.recorder.record_order(order, accepted=accepted)
+        return accepted
 
     def on_admitted(self, job: Job) -> None:
-        """Records that a job has taken its memory."""
+        """Records that memory has been allocated to a job."""
         self.recorder.record_job(HistoryKind.MEMORY_TAKEN, job)
 
     def on_prefill_started(self, job: Job) -> None:
-        """Skips the prefill of cached blocks."""
+        """Skips the prefill of cached blocks, except for the last token."""
         cached = self.cache.match(job.blocks)
         job.cached_tokens = min(cached, job.prompt_tokens - 1)
         job.prefill_remaining_tokens -= job.cached_tokens
 
     def on_prefilled(self, job: Job) -> None:
-        """Caches the prompt's blocks, or crashes on a crashing prompt."""
+        """Caches the prompt's blocks, or crashes on a crash marker."""
         if job.crashes_engine:
             self.crash("prompt")
             return
@@ -211,7 +214,7 @@
         self._count_success()
 
     def on_memory_freed(self, job: Job) -> None:
-        """Records that a job has freed its memory."""
+        """Records that a job's memory has been freed."""
         self.recorder.record_job(HistoryKind.MEMORY_FREED, job)
 
     def on_job_ended(self, job: Job) -> None:
@@ -223,7 +226,7 @@
             self.recorder.record_job(HistoryKind.REQUEST_CANCELLED, job)
 
     def on_load_changed(self) -> None:
-        """Records the load for later reports."""
+        """Records the current load, which reports return after a lag."""
         report = make_load_report(
             self.batch,
             boot_id=self.boot_id,
@@ -233,8 +236,8 @@
         self.load.record(report)
 
     def _boot(self) -> None:
-        self._boots += 1
-        self.boot_id = f"{self.name}-{self.incarnation}{self._boots}"
+        self._boot_count += 1
+        self.boot_id = f"{self.name}-{self.incarnation}{self._boot_count}"
         self.load.clear()
         self.on_load_changed()
         self.recorder.record_boot(self.boot_id)
@@ -249,7 +252,7 @@
 
     @contextlib.asynccontextmanager
     async def serve(self, *, host: str, port: int) -> AsyncIterator[None]:
-        """Listens and runs the batch until the context ends."""
+        """Serves the API and runs the batch until the context exits."""
         async with (
             self.batch.run(),
             open_listener(
@@ -274,17 +277,17 @@
     session: aiohttp.ClientSession | None = None,
     incarnation: str = "",
 ) -> AsyncIterator[EngineStandIn]:
-    """Serves an engine stand-in until the context ends.
+    """Serves an engine stand-in until the context exits.
 
     Args:
         host: IP address to listen on.
-        port: TCP port to listen on; 0 takes a free one.
-        name: Actor in the history and start of its boot ids.
+        port: TCP port to listen on; 0 selects a free port.
+        name: Actor name in the history and prefix of boot ids.
         options: Limits and service times.
-        history: Where it records what it does.
-        session: Client for checking KV caches of other engines, or None to
-            trust them.
-        incarnation: Part of boot ids that tells processes apart.
+        history: Receives the engine's records.
+        session: HTTP client that checks whether KV caches exist at other
+            engines, or None to skip the check.
+        incarnation: Part of boot ids that distinguishes processes.
 
     Yields:
         The stand-in.
--- a/src/auburnswitch/standins/engine_api.py
+++ b/src/auburnswitch/standins/engine_api.py
@@ -44,7 +44,7 @@
 
 
 class EngineApi:
-    """Translates between HTTP and the engine.
+    """Handles the HTTP requests to an engine.
 
     Attributes:
         engine: The engine.
@@ -57,17 +57,17 @@
 
     def routes(self) -> list[Route]:
         """Returns the routes of the API."""
-        stream = "/v1/streams/{request_id}/{attempt:int}"
-        kv = "/v1/kv/{kv_id}"
+        stream_path = "/v1/streams/{request_id}/{attempt:int}"
+        kv_path = "/v1/kv/{kv_id}"
         return [
             Route("/v1/completions", self.complete, methods=["POST"]),
             Route("/v1/chat/completions", self.chat, methods=["POST"]),
             Route("/v1/streams", self.list_streams, methods=["GET"]),
-            Route(stream, self.resume_stream, methods=["GET"]),
-            Route(stream, self.cancel_stream, methods=["DELETE"]),
+            Route(stream_path, self.resume_stream, methods=["GET"]),
+            Route(stream_path, self.cancel_stream, methods=["DELETE"]),
             Route("/v1/prefill", self.prefill, methods=["POST"]),
             Route("/v1/kv", self.list_kv, methods=["GET"]),
-            Route(kv, self.free_kv, methods=["DELETE"]),
+            Route(kv_path, self.free_kv, methods=["DELETE"]),
             Route("/load", self.load, methods=["GET"]),
             Route("/v1/cache/events", self.cache_events, methods=["GET"]),
             Route("/v1/orders", self.apply_order, methods=["POST"]),
@@ -75,30 +75,34 @@
         ]
 
     async def complete(self, request: Request) -> Response:
-        """Answers a completion."""
+        """Serves a completion request."""
         return await self._complete(request, chat=False)
 
     async def chat(self, request: Request) -> Response:
-        """Answers a chat completion."""
+        """Serves a chat completion request."""
         return await self._complete(request, chat=True)
 
     async def _complete(self, request: Request, *, chat: bool) -> Response:
         try:
             body = await read_json_object(request)
             parsed = parse_request(body, chat=chat)
-            caller = read_request_ids(request, self._default_id())
+            ids = read_request_ids(request, self._default_id())
         except ValueError as error:
             return _error(400, str(error))
-        continued = count_tokens(parsed.continue_text)
+        continued_tokens = count_tokens(parsed.continue_text)
         work = Completion(
-            max_tokens=parsed.max_tokens, first_token=continued, chat=chat
+            max_tokens=parsed.max_tokens,
+            first_token=continued_tokens,
+            chat=chat,
         )
-        refusal = await self._refusal(parsed, work.max_tokens + continued)
-        if refusal is None and self.engine.job_table.has_attempt(caller):
-            refusal = _error(409, "this attempt has been sent already")
-        if refusal is not None:
-            return refusal
-        job = self._make_job(parsed, caller, work)
+        rejection = await self._rejection(
+            parsed, work.max_tokens + continued_tokens
+        )
+        if rejection is None and self.engine.job_table.has_attempt(ids):
+            rejection = _error(409, "this attempt already exists")
+        if rejection is not None:
+            return rejection
+        job = self._make_job(parsed, ids, work)
         self.engine.submit(job)
         if parsed.stream:
             return self._stream(job, work, first=0)
@@ -111,47 +115,47 @@
             f"{self.engine.job_table.next_arrival_index()}"
         )
 
-    async def _refusal(
-        self, parsed: EngineRequest, further_tokens: int
+    async def _rejection(
+        self, parsed: EngineRequest, extra_tokens: int
     ) -> Response | None:
         loaded = self.engine.order_state.model
         if loaded and parsed.model and parsed.model != loaded:
             return _error(404, f"model {parsed.model} is not loaded")
-        needed = count_tokens(parsed.prompt) + further_tokens
-        if needed > self.engine.options.memory_tokens:
-            return _error(400, "the request is larger than the memory")
-        for link in parsed.kv_chain:
-            if not await self._has_kv(link):
-                return _error(409, f"KV cache {link.kv_id} does not exist")
+        needed_tokens = count_tokens(parsed.prompt) + extra_tokens
+        if needed_tokens > self.engine.options.memory_tokens:
+            return _error(400, "the request exceeds the engine's memory")
+        for kv_ref in parsed.kv_chain:
+            if not await self._kv_exists(kv_ref):
+                return _error(409, f"KV cache {kv_ref.kv_id} does not exist")
         return None
 
-    async def _has_kv(self, link: KvCacheRef) -> bool:
+    async def _kv_exists(self, kv_ref: KvCacheRef) -> bool:
         if self.engine.session is None:
             return True
-        url = f"{link.url}/v1/kv"
+        url = f"{kv_ref.url}/v1/kv"
         try:
             async with self.engine.session.get(url) as response:
                 caches = (await response.json())["caches"]
         except aiohttp.ClientError:
             return False
-        return any(cache["kv_id"] == link.kv_id for cache in caches)
+        return any(cache["kv_id"] == kv_ref.kv_id for cache in caches)
 
     def _make_job(
         self,
         parsed: EngineRequest,
-        caller: RequestIds,
+        ids: RequestIds,
         work: Completion | PrefillSegment,
     ) -> Job:
         text = parsed.prompt + parsed.continue_text
-        continued = count_tokens(parsed.continue_text)
+        continued_tokens = count_tokens(parsed.continue_text)
         return Job(
-            request_id=caller.request_id,
-            attempt=caller.attempt,
-            member_id=caller.member_id,
+            request_id=ids.request_id,
+            attempt=ids.attempt,
+            member_id=ids.member_id,
             priority=parsed.priority,
             arrival_index=self.engine.job_table.next_arrival_index(),
             work=work,
-            prompt_tokens=count_tokens(parsed.prompt) + continued,
+            prompt_tokens=count_tokens(parsed.prompt) + continued_tokens,
             digest=prompt_digest(parsed.prompt, _chain_digest(parsed)),
             blocks=[] if parsed.kv_chain else block_hashes(text),
             crashes_engine=CRASH_MARKER in parsed.prompt,
@@ -167,7 +171,7 @@
         )
 
     async def list_streams(self, request: Request) -> Response:
-        """Lists the streams that run or can be resumed."""
+        """Lists the streams that are active or can be resumed."""
         streams = [
             {
                 "request_id": job.request_id,
@@ -187,7 +191,7 @@
         )
 
     async def resume_stream(self, request: Request) -> Response:
-        """Streams an answer again from a sequence number on."""
+        """Streams an answer again, starting at a sequence number."""
         job = self._find_stream(request)
         if job is None:
             return _error(404, "no such stream")
@@ -198,7 +202,7 @@
         match job.work:
             case Completion() as work if first >= 0:
                 return self._stream(job, work, first)
-        return _error(400, "cannot resume there")
+        return _error(400, "cannot resume from this sequence number")
 
     async def cancel_stream(self, request: Request) -> Response:
         """Cancels a stream."""
@@ -209,30 +213,30 @@
         return JSONResponse({})
 
     async def prefill(self, request: Request) -> Response:
-        """Prefills one segment and keeps its KV cache."""
+        """Prefills one segment and retains its KV cache."""
         try:
             body = await read_json_object(request)
             parsed = parse_request(body, chat=False)
-            caller = read_prefill_request_ids(request, body, self._default_id())
+            ids = read_prefill_request_ids(request, body, self._default_id())
         except ValueError as error:
             return _error(400, str(error))
-        refusal = await self._refusal(parsed, 0)
-        if refusal is not None:
-            return refusal
+        rejection = await self._rejection(parsed, 0)
+        if rejection is not None:
+            return rejection
         tokens = count_tokens(parsed.prompt)
         digest = prompt_digest(parsed.prompt, _chain_digest(parsed))
         kv_id = self.engine.job_table.next_kv_id(
             self.engine.boot_id, tokens, digest
         )
-        job = self._make_job(parsed, caller, PrefillSegment(kv_id=kv_id))
+        job = self._make_job(parsed, ids, PrefillSegment(kv_id=kv_id))
         self.engine.submit(job)
         await job.wait_until_inactive()
         if not job.kv_retained:
-            return _error(409, "the KV cache was freed")
+            return _error(409, "the KV cache has been freed")
         return JSONResponse({"kv_id": kv_id, "tokens": tokens})
 
     async def list_kv(self, request: Request) -> Response:
-        """Lists the KV caches, also those that are being made."""
+        """Lists the KV caches, including those still in prefill."""
         caches = [
             {
                 "kv_id": kv_id,
@@ -254,32 +258,32 @@
         return JSONResponse({})
 
     async def load(self, request: Request) -> Response:
-        """Reports the load of a short time ago."""
+        """Returns the load as it was `load_lag_s` ago."""
         return JSONResponse(self.engine.load.read().to_json())
 
     async def cache_events(self, request: Request) -> Response:
-        """Lists cache events from a sequence number on."""
+        """Lists cache events, starting at a sequence number."""
         try:
             since = int(request.query_params.get("since", "0"))
         except ValueError as error:
             return _error(400, str(error))
-        events, following = self.engine.cache.feed.read(since)
+        events, next_sequence = self.engine.cache.feed.read(since)
         content = [event.to_json() for event in events]
-        return JSONResponse({"events": content, "next": following})
+        return JSONResponse({"events": content, "next": next_sequence})
 
     async def apply_order(self, request: Request) -> Response:
-        """Carries out an order."""
+        """Applies an order, or responds 409 with the current fencing number."""
         try:
             order = parse_order(await read_json_object(request))
         except ValueError as error:
             return _error(400, str(error))
         if not self.engine.apply_order(order):
-            number = self.engine.order_state.fencing_number
-            return JSONResponse({"fencing_number": number}, 409)
+            fencing_number = self.engine.order_state.fencing_number
+            return JSONResponse({"fencing_number": fencing_number}, 409)
         return JSONResponse({})
 
     async def get_orders(self, request: Request) -> Response:
-        """Shows what orders have set."""
+        """Returns the state that orders have set."""
         return JSONResponse(self.engine.order_state.to_json())
 
 
@@ -294,7 +298,7 @@
 
 
 def engine_app(engine: EngineStandIn) -> Starlette:
-    """Returns an engine's API as an application."""
+    """Returns an engine's API as an ASGI application."""
     api = EngineApi(engine=engine)
     return Starlette(routes=[*control_routes(engine), *api.routes()])
 
--- a/src/auburnswitch/standins/engine_batch.py
+++ b/src/auburnswitch/standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: admission to memory, prefill by chunk and decoding."""
+"""Continuous batching: memory admission, chunked prefill and decode."""
 
 from __future__ import annotations
 
@@ -26,47 +26,49 @@
 
 
 class BatchObserver(Protocol):
-    """Is told what happens to the jobs of a batch."""
+    """Receives notifications about the jobs of a batch."""
 
     def on_admitted(self, job: Job) -> None:
-        """The job has taken its memory."""
+        """Called after memory has been allocated to the job."""
 
     def on_prefill_started(self, job: Job) -> None:
-        """The first chunk of the job is about to run."""
+        """Called before the first chunk of the job is prefilled."""
 
     def on_prefilled(self, job: Job) -> None:
-        """The last chunk of the job has run."""
+        """Called after the last chunk of the job has been prefilled."""
 
     def on_kv_retained(self, job: Job) -> None:
-        """The job's KV cache is complete and is kept."""
+        """Called after the job's KV cache is complete and retained."""
 
     def on_memory_freed(self, job: Job) -> None:
-        """The job has freed its memory."""
+        """Called after the job's memory has been freed."""
 
     def on_job_ended(self, job: Job) -> None:
-        """The job has finished or was cancelled."""
+        """Called after the job has finished or was cancelled."""
 
     def on_load_changed(self) -> None:
-        """The load has changed."""
+        """Called after the load has changed."""
 
 
 class BatchScheduler:
-    """The jobs of an engine and the tasks that advance them.
+    """Schedules the jobs of an engine and runs the tasks that advance them.
 
     Attributes:
         options: Limits and service times.
-        observer: Is told what happens.
-        pause: Nothing advances while it lasts.
-        waiting: Jobs that do not fit yet, in order of service.
-        prefill_delay_s: Tells how much longer a prompt takes now, in seconds.
+        observer: Receives notifications about the jobs.
+        pause: Suspends all jobs while active.
+        waiting: Jobs not yet admitted, in scheduling order.
+        prefill_delay_s: Returns the current delay added to each prefill, in
+            seconds.
         prefilling: Jobs in prefill.
-        decoding: Jobs that decode.
-        memory_used_tokens: Tokens of memory in use, KV caches included.
+        decoding: Jobs in decode.
+        memory_used_tokens: Tokens of memory in use, retained KV caches
+            included.
     """
 
     __slots__ = (
-        "_decode_wanted",
-        "_prefill_wanted",
+        "_decode_ready",
+        "_prefill_ready",
         "decoding",
         "memory_used_tokens",
         "observer",
@@ -93,26 +95,26 @@
         self.prefilling: list[Job] = []
         self.decoding: list[Job] = []
         self.memory_used_tokens = 0
-        self._prefill_wanted = asyncio.Event()
-        self._decode_wanted = asyncio.Event()
+        self._prefill_ready = asyncio.Event()
+        self._decode_ready = asyncio.Event()
 
     @property
     def running_count(self) -> int:
-        """Jobs that have memory and are not yet done."""
+        """Number of admitted jobs that are in prefill or decode."""
         return len(self.prefilling) + len(self.decoding)
 
     def jobs(self) -> list[Job]:
-        """Returns all jobs that wait or run."""
+        """Returns all waiting and running jobs."""
         return [*self.waiting, *self.prefilling, *self.decoding]
 
     def submit(self, job: Job) -> None:
-        """Queues a job; it runs once it fits in memory."""
+        """Queues a job, which starts once memory and a batch slot are free."""
         bisect.insort(self.waiting, job, key=Job.sort_key)
         self._admit()
         self.observer.on_load_changed()
 
     def cancel(self, job: Job) -> None:
-        """Ends a job that waits, runs or is held, and frees its memory."""
+        """Cancels a waiting, running or retained job and frees its memory."""
         if job.state is JobState.WAITING:
             self.waiting.remove(job)
         elif job.active or job.state is JobState.KV_RETAINED:
@@ -120,13 +122,16 @@
         self._end(job, JobState.CANCELLED)
 
     def discard_all(self) -> None:
-        """Forgets every job, as a crash does."""
-        lost = self.jobs()
+        """Drops all jobs and their memory, as a crash does.
+
+        The observer is not notified.
+        """
+        lost_jobs = self.jobs()
         self.waiting.clear()
         self.prefilling.clear()
         self.decoding.clear()
         self.memory_used_tokens = 0
-        for job in lost:
+        for job in lost_jobs:
             job.state = JobState.LOST
             job.notify_waiters()
 
@@ -138,12 +143,12 @@
                 self.memory_used_tokens + job.memory_tokens
                 > options.memory_tokens
             ):
-                return  # later jobs must not starve the first one
+                return  # admitting later jobs would starve the first one
             self.waiting.pop(0)
             self.memory_used_tokens += job.memory_tokens
             job.state = JobState.PREFILL
             self.prefilling.append(job)
-            self._prefill_wanted.set()
+            self._prefill_ready.set()
             self.observer.on_admitted(job)
 
     def _release(self, job: Job) -> None:
@@ -163,11 +168,11 @@
         self.observer.on_load_changed()
 
     async def run_prefill(self) -> None:
-        """Prefills chunk by chunk, the first job in order of service first."""
+        """Prefills one chunk at a time, of the jobs in scheduling order."""
         while True:
             if not self.prefilling:
-                self._prefill_wanted.clear()
-                await self._prefill_wanted.wait()
+                self._prefill_ready.clear()
+                await self._prefill_ready.wait()
             await self.pause.wait()
             if self.prefilling:
                 await self._run_chunk(min(self.prefilling, key=Job.sort_key))
@@ -177,14 +182,16 @@
         if job.prefill_remaining_tokens == job.prompt_tokens:
             delay_s = self.prefill_delay_s()
             self.observer.on_prefill_started(job)
-        chunk = min(
+        chunk_tokens = min(
             job.prefill_remaining_tokens, self.options.prefill_chunk_tokens
         )
-        await asyncio.sleep(delay_s + prefill_time_s(self.options, chunk))
+        await asyncio.sleep(
+            delay_s + prefill_time_s(self.options, chunk_tokens)
+        )
         await self.pause.wait()
         if job.state is not JobState.PREFILL:
-            return  # cancelled or lost meanwhile
-        job.prefill_remaining_tokens -= chunk
+            return  # the job was cancelled or lost during the sleep
+        job.prefill_remaining_tokens -= chunk_tokens
         if job.prefill_remaining_tokens == 0:
             self._finish_prefill(job)
         self.observer.on_load_changed()
@@ -192,13 +199,13 @@
     def _finish_prefill(self, job: Job) -> None:
         self.observer.on_prefilled(job)
         if job.state is not JobState.PREFILL:
-            return  # the job has crashed the engine
+            return  # the job crashed the engine
         self.prefilling.remove(job)
         match job.work:
             case Completion():
                 job.state = JobState.DECODE
                 self.decoding.append(job)
-                self._decode_wanted.set()
+                self._decode_ready.set()
             case PrefillSegment():
                 job.state = JobState.KV_RETAINED
                 job.notify_waiters()
@@ -206,35 +213,35 @@
                 self._admit()
 
     async def run_decode(self) -> None:
-        """Gives every decoding job one token in each step."""
+        """Decodes one token of every decoding job in each step."""
         loop = asyncio.get_running_loop()
-        step_ends_s = 0.0
+        step_end_s = 0.0
         while True:
             if not self.decoding:
-                self._decode_wanted.clear()
-                await self._decode_wanted.wait()
-                step_ends_s = loop.time()
-            step_ends_s += decode_time_s(self.options, len(self.decoding))
-            step_ends_s = max(step_ends_s, loop.time())  # no catching up
-            await asyncio.sleep(step_ends_s - loop.time())
+                self._decode_ready.clear()
+                await self._decode_ready.wait()
+                step_end_s = loop.time()
+            step_end_s += decode_time_s(self.options, len(self.decoding))
+            step_end_s = max(step_end_s, loop.time())  # does not catch up
+            await asyncio.sleep(step_end_s - loop.time())
             await self.pause.wait()
             self._decode_step()
 
     def _decode_step(self) -> None:
-        ended = []
+        finished_jobs = []
         for job in self.decoding:
             job.produced_tokens += 1
             if job.produced_tokens == job.answer_tokens:
-                ended.append(job)
+                finished_jobs.append(job)
             else:
                 job.notify_waiters()
-        for job in ended:
+        for job in finished_jobs:
             self._release(job)
             self._end(job, JobState.FINISHED)
 
     @contextlib.asynccontextmanager
     async def run(self) -> AsyncIterator[None]:
-        """Advances the jobs until the context ends."""
+        """Runs prefill and decode until the context exits."""
         tasks = [
             asyncio.create_task(self.run_prefill()),
             asyncio.create_task(self.run_decode()),
--- a/src/auburnswitch/standins/engine_cold.py
+++ b/src/auburnswitch/standins/engine_cold.py
@@ -1,4 +1,4 @@
-"""The cold state of an engine, in which it bears only a small load."""
+"""The cold state of an engine, in which it tolerates only a small load."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 
 class ColdState:
-    """Whether an engine is cold, and what it bears then.
+    """Tracks whether an engine is cold and checks its load limits.
 
     Attributes:
-        options: Bounds of the cold state.
+        options: Limits of the cold state.
         cold: Whether the engine is cold.
-        successes: Requests served since it turned cold.
+        successes: Number of successful requests since the start or the last
+            time the engine turned cold.
     """
 
     __slots__ = ("cold", "options", "successes")
@@ -29,7 +30,7 @@
 
     @property
     def delay_s(self) -> float:
-        """Time that a prompt takes longer now, in seconds."""
+        """Current delay added to each prefill, in seconds."""
         return self.options.cold_delay_s if self.cold else 0.0
 
     def turn_cold(self) -> None:
@@ -38,7 +39,11 @@
         self.successes = 0
 
     def count_success(self) -> bool:
-        """Counts a served request; returns whether it ended the cold state."""
+        """Counts a successful request.
+
+        Returns:
+            Whether the request ended the cold state.
+        """
         self.successes += 1
         if not self.cold or self.successes < self.options.warm_after:
             return False
@@ -46,7 +51,7 @@
         return True
 
     def is_overloaded(self, jobs: Sequence[Job]) -> bool:
-        """Returns whether a cold engine does not bear the jobs."""
+        """Returns whether the engine is cold and the jobs exceed its limits."""
         if not self.cold:
             return False
         tokens = sum(job.prompt_tokens for job in jobs)
--- a/src/auburnswitch/standins/engine_control.py
+++ b/src/auburnswitch/standins/engine_control.py
@@ -29,14 +29,14 @@
 def apply_engine_control(
     engine: EngineStandIn, switches: dict[str, Any]
 ) -> None:
-    """Sets an engine's switches and options, then runs the actions named.
+    """Sets an engine's switches and options, then runs the requested actions.
 
     Args:
         engine: The engine.
-        switches: New values by name; an action's value is whether to run it.
+        switches: New values by name; an action runs if its value is true.
 
     Raises:
-        ValueError: A name is unknown or a value has a wrong type.
+        ValueError: A name is unknown or a value has the wrong type.
     """
     values = dict(switches)
     freeze_s = float(values.pop("freeze_s", 0.0))
--- a/src/auburnswitch/standins/engine_job.py
+++ b/src/auburnswitch/standins/engine_job.py
@@ -1,4 +1,4 @@
-"""One piece of work in an engine's batch: a completion or a prefill."""
+"""A job in an engine's batch: a completion or the prefill of a segment."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class JobState(enum.Enum):
-    """Where a job is in the engine."""
+    """Scheduling state of a job."""
 
     WAITING = enum.auto()
     PREFILL = enum.auto()
     DECODE = enum.auto()
-    KV_RETAINED = enum.auto()  # a KV cache that is kept for other engines
+    KV_RETAINED = enum.auto()  # KV cache kept for other engines
     FINISHED = enum.auto()
     CANCELLED = enum.auto()
     LOST = enum.auto()  # the engine crashed
@@ -32,9 +32,9 @@
     """Work that decodes an answer.
 
     Attributes:
-        max_tokens: Tokens of the answer.
-        first_token: Position of its first token in the whole answer.
-        chat: Whether it has the shape of a chat.
+        max_tokens: Number of tokens to decode.
+        first_token: Position of the first token in the complete answer.
+        chat: Whether the response has the chat completion format.
     """
 
     max_tokens: int
@@ -44,34 +44,36 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class PrefillSegment:
-    """Work that prefills one segment of a prompt and keeps its KV cache.
+    """Work that prefills one segment of a prompt and retains its KV cache.
 
     Attributes:
-        kv_id: Name of the KV cache.
+        kv_id: Id of the KV cache.
     """
 
     kv_id: str
 
 
 class Job:
-    """A request within the engine.
+    """A request in the engine.
 
     Attributes:
-        request_id: Id that the caller gave.
-        attempt: Attempt that the caller gave.
-        member_id: Daemon that sent it.
-        priority: A lower number runs first.
-        arrival_index: Position among all arrivals.
-        work: What is wanted.
-        prompt_tokens: Tokens of prompt, with text to continue.
-        digest: Digest of the whole prompt.
-        blocks: Names of the prompt's whole blocks.
-        crashes_engine: Whether it crashes the engine when its prefill ends.
+        request_id: Request id from the caller.
+        attempt: Attempt number from the caller.
+        member_id: Id of the daemon that sent the request.
+        priority: Lower numbers run first.
+        arrival_index: Position in the order of arrival.
+        work: Completion or prefill of a segment.
+        prompt_tokens: Tokens of the prompt, including the text to continue.
+        digest: Digest of the complete prompt.
+        blocks: Hashes of the prompt's full blocks.
+        crashes_engine: Whether the job crashes the engine at the end of its
+            prefill.
         cached_tokens: Tokens whose prefill was skipped.
         prefill_remaining_tokens: Tokens still to prefill.
-        produced_tokens: Answer tokens so far.
-        state: Where it is.
-        ended_at_s: Time at which it finished or was cancelled.
+        produced_tokens: Answer tokens decoded so far.
+        state: Scheduling state.
+        ended_at_s: Event loop time at which the job finished or was
+            cancelled.
     """
 
     __slots__ = (
@@ -126,7 +128,7 @@
 
     @property
     def answer_tokens(self) -> int:
-        """Tokens that the job is to decode."""
+        """Number of tokens to decode, 0 for the prefill of a segment."""
         match self.work:
             case Completion(max_tokens=max_tokens):
                 return max_tokens
@@ -135,38 +137,38 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Memory that the job takes while it runs."""
+        """Memory allocated to the job from admission on, in tokens."""
         return self.prompt_tokens + self.answer_tokens
 
     @property
     def active(self) -> bool:
-        """Whether it still waits or runs."""
+        """Whether the job is waiting or running."""
         return self.state in ACTIVE_STATES
 
     @property
     def finished(self) -> bool:
-        """Whether its answer is whole."""
+        """Whether the job has decoded its complete answer."""
         return self.state is JobState.FINISHED
 
     @property
     def kv_retained(self) -> bool:
-        """Whether its KV cache is complete and kept."""
+        """Whether the job's KV cache is complete and retained."""
         return self.state is JobState.KV_RETAINED
 
     @property
     def kv_completed(self) -> bool:
-        """Whether its KV cache has been completed, even if freed since."""
+        """Whether the job's KV cache was completed, even if freed since."""
         return (
             isinstance(self.work, PrefillSegment)
             and self.prefill_remaining_tokens == 0
         )
 
     def sort_key(self) -> tuple[int, int]:
-        """Returns its place in the order of service."""
+        """Returns the job's position in the scheduling order."""
         return (self.priority, self.arrival_index)
 
     def notify_waiters(self) -> None:
-        """Wakes all that wait for a change of the job."""
+        """Wakes all tasks that wait for a change of the job."""
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
@@ -179,7 +181,7 @@
         await waiter
 
     async def wait_until_inactive(self) -> None:
-        """Returns once the job no longer waits or runs."""
+        """Returns once the job is neither waiting nor running."""
         while self.active:
             await self.wait_for_change()
 
--- a/src/auburnswitch/standins/engine_job_table.py
+++ b/src/auburnswitch/standins/engine_job_table.py
@@ -1,4 +1,4 @@
-"""The streams and KV caches that callers can name."""
+"""Lookup table of the streams and KV caches that callers can address."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class JobTable:
-    """Jobs of an engine by the ids that callers use.
+    """Maps the ids that callers use to an engine's jobs.
 
     Attributes:
-        resumable_s: Time that a finished stream is kept.
-        kv_caches: Prefilled segments by id, also those in the making.
+        resumable_s: Time for which a finished stream is retained.
+        kv_caches: Segment prefills by KV cache id, including unfinished ones.
     """
 
     __slots__ = (
+        "_arrival_count",
         "_kv_count",
-        "_order",
         "_streams",
         "kv_caches",
         "resumable_s",
@@ -32,7 +32,7 @@
         self.kv_caches: dict[str, Job] = {}
         self._streams: dict[tuple[str, int], Job] = {}
         self._kv_count = 0
-        self._order = 0
+        self._arrival_count = 0
 
     def next_kv_id(self, boot_id: str, tokens: int, digest: str) -> str:
         """Returns a new KV cache id, which ends with the prompt's digest."""
@@ -40,12 +40,12 @@
         return f"{boot_id}.{self._kv_count}.{tokens}.{digest}"
 
     def next_arrival_index(self) -> int:
-        """Returns the next place in the order of arrival."""
-        self._order += 1
-        return self._order
+        """Returns the next position in the order of arrival."""
+        self._arrival_count += 1
+        return self._arrival_count
 
     def add(self, job: Job) -> None:
-        """Adds a job."""
+        """Adds a job under its stream or KV cache id."""
         match job.work:
             case Completion():
                 self._streams[job.request_id, job.attempt] = job
@@ -61,27 +61,27 @@
                 del self.kv_caches[kv_id]
 
     def find_stream(self, request_id: str, attempt: int) -> Job | None:
-        """Returns a stream that runs or can be resumed, if there is one."""
+        """Returns a stream that is active or can be resumed, None if absent."""
         job = self._streams.get((request_id, attempt))
         if job is not None and self._is_expired(job):
             self.remove(job)
             return None
         return job
 
-    def has_attempt(self, caller: RequestIds) -> bool:
-        """Returns whether a caller's attempt runs or can be resumed."""
-        found = self.find_stream(caller.request_id, caller.attempt)
+    def has_attempt(self, ids: RequestIds) -> bool:
+        """Returns whether an attempt's stream is active or can be resumed."""
+        found = self.find_stream(ids.request_id, ids.attempt)
         return found is not None
 
     def list_streams(self) -> list[Job]:
-        """Returns the streams that run or can be resumed."""
+        """Returns the streams that are active or can be resumed."""
         for job in list(self._streams.values()):
             if self._is_expired(job):
                 self.remove(job)
         return list(self._streams.values())
 
     def clear(self) -> None:
-        """Forgets every job."""
+        """Removes all jobs."""
         self._streams.clear()
         self.kv_caches.clear()
 
--- a/src/auburnswitch/standins/engine_load.py
+++ b/src/auburnswitch/standins/engine_load.py
@@ -11,16 +11,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class LoadReport:
-    """The load of an engine at one time.
+    """The load of an engine at one point in time.
 
     Attributes:
         boot_id: Changes with every start of the engine.
-        running: Requests in the batch.
-        waiting: Requests that do not fit yet.
-        memory_tokens: Size of the memory.
+        running: Number of requests in the batch.
+        waiting: Number of requests not yet admitted.
+        memory_tokens: Total memory.
         memory_used_tokens: Memory in use.
         prefill_queued_tokens: Prompt tokens still to prefill.
-        model: Model that is loaded.
+        model: Name of the loaded model.
         leaving: Whether the engine is leaving.
     """
 
@@ -34,23 +34,25 @@
     leaving: bool
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the report as the API shows it."""
+        """Returns the report in the API's JSON form."""
         return dataclasses.asdict(self)
 
 
 def make_load_report(
     batch: BatchScheduler, *, boot_id: str, model: str, leaving: bool
 ) -> LoadReport:
-    """Returns the present load of a batch."""
-    queued = sum(job.prefill_remaining_tokens for job in batch.waiting)
-    queued += sum(job.prefill_remaining_tokens for job in batch.prefilling)
+    """Returns a report of the current load of a batch."""
+    queued_tokens = sum(job.prefill_remaining_tokens for job in batch.waiting)
+    queued_tokens += sum(
+        job.prefill_remaining_tokens for job in batch.prefilling
+    )
     return LoadReport(
         boot_id=boot_id,
         running=batch.running_count,
         waiting=len(batch.waiting),
         memory_tokens=batch.options.memory_tokens,
         memory_used_tokens=batch.memory_used_tokens,
-        prefill_queued_tokens=queued,
+        prefill_queued_tokens=queued_tokens,
         model=model,
         leaving=leaving,
     )
--- a/src/auburnswitch/standins/engine_options.py
+++ b/src/auburnswitch/standins/engine_options.py
@@ -1,8 +1,8 @@
 """The engine stand-in's service times and limits, with their defaults.
 
 Prefill runs one chunk at a time and takes `chunk / prefill_tokens_per_second`.
-Decoding runs beside it: one step gives every running stream one token and
-takes `decode_step_s + streams * decode_stream_cost_s`.
+Decode runs concurrently with prefill: one step decodes one token of every
+decoding stream and takes `decode_step_s + streams * decode_stream_cost_s`.
 """
 
 from __future__ import annotations
@@ -12,33 +12,36 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class EngineOptions:
-    """What one engine stand-in can do and how it fails.
+    """Limits, service times and faults of one engine stand-in.
 
     Attributes:
-        model: Model that it serves first; empty serves any model name.
+        model: Model served after the start; empty accepts any model name.
         memory_tokens: Tokens of prompt and answer that fit in memory.
-        max_running: Requests in one batch.
-        prefill_tokens_per_second: Prompt tokens prefilled in a second.
-        prefill_chunk_tokens: Prompt tokens of one chunk.
-        decode_step_s: Time of a decode step without streams.
+        max_running: Maximum number of requests in one batch.
+        prefill_tokens_per_second: Prompt tokens prefilled per second.
+        prefill_chunk_tokens: Maximum prompt tokens in one chunk.
+        decode_step_s: Base time of a decode step, without streams.
         decode_stream_cost_s: Time that each stream adds to a decode step.
-        cache_tokens: Tokens of cached prefix blocks.
-        resumable_s: Time that a finished stream can be resumed.
-        starts_warm: Whether the first start is warm.
-        cold_max_running: Requests that a cold engine bears.
-        cold_max_tokens: Prompt tokens that a cold engine bears.
-        cold_delay_s: Time that each prompt takes longer on a cold engine.
-        warm_after: Successful requests that end the cold state.
-        restart_s: Time that the engine is down after a crash.
-        restart_silent: Whether connections are accepted and left without an
-            answer while it is down, instead of being refused.
+        cache_tokens: Capacity of the prefix cache.
+        resumable_s: Time for which a finished stream can be resumed.
+        starts_warm: Whether the engine is warm when it is created.
+        cold_max_running: Maximum number of requests on a cold engine; one more
+            crashes the engine.
+        cold_max_tokens: Maximum prompt tokens on a cold engine; one more
+            crashes the engine.
+        cold_delay_s: Time added to each prefill on a cold engine.
+        warm_after: Number of successful requests that ends the cold state.
+        restart_s: Downtime after a crash.
+        restart_silent: Whether connections are accepted without a response
+            during the downtime, instead of being refused.
         load_lag_s: Age of a load report.
-        cache_event_delay_s: Shortest age of a published cache event.
-        cache_event_jitter_s: Random addition to that age.
+        cache_event_delay_s: Minimum age of a published cache event.
+        cache_event_jitter_s: Maximum random addition to that age.
         cache_event_loss: Share of cache events that are never published.
-        checks_fencing: Whether orders with an old fencing number are refused.
+        checks_fencing: Whether orders with a lower fencing number than the last
+            accepted one are rejected.
         model_load_s: Time to load a model.
-        seed: Seed of the random choices.
+        seed: Seed of the random number generator.
     """
 
     model: str = ""
@@ -67,12 +70,12 @@
 
 
 def prefill_time_s(options: EngineOptions, tokens: int) -> float:
-    """Returns the time to prefill some prompt tokens."""
+    """Returns the time to prefill a number of prompt tokens."""
     return tokens / options.prefill_tokens_per_second
 
 
 def decode_time_s(options: EngineOptions, streams: int) -> float:
-    """Returns the time of a decode step of some streams."""
+    """Returns the time of a decode step with a number of streams."""
     return options.decode_step_s + streams * options.decode_stream_cost_s
 
 
--- a/src/auburnswitch/standins/engine_orders.py
+++ b/src/auburnswitch/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine and their fencing numbers."""
+"""Orders to an engine, protected by fencing numbers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an order changes."""
+    """Kind of change that an order requests."""
 
     LOAD_MODEL = "load_model"
     SET_ROLE = "set_role"
 
 
 class Order:
-    """One order, as received."""
+    """An order as received from a daemon."""
 
     __slots__ = ("fencing_number", "kind", "name", "version")
 
@@ -31,7 +31,7 @@
         self.fencing_number = fencing_number
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the order as JSON types."""
+        """Returns the order as values of JSON types."""
         return {
             "order": self.kind,
             "name": self.name,
@@ -41,37 +41,39 @@
 
 
 def parse_order(body: dict[str, Any]) -> Order:
-    """Builds an order from its body.
+    """Parses an order from a request body.
 
     Raises:
-        ValueError: A field is missing or has a wrong type.
+        ValueError: A field is missing or has the wrong type.
     """
-    number = body.get("fencing_number")
+    fencing_number = body.get("fencing_number")
     name = body.get("name")
-    if type(number) is not int or not isinstance(name, str):
-        raise ValueError("an order needs a name and a fencing number")
+    if type(fencing_number) is not int or not isinstance(name, str):
+        raise ValueError(
+            "an order must have a name and an integer fencing number"
+        )
     return Order(
         kind=OrderKind(body.get("kind")),
         name=name,
         version=str(body.get("version", "")),
-        fencing_number=number,
+        fencing_number=fencing_number,
     )
 
 
 class OrderState:
-    """What the orders so far have set.
+    """State of the engine that orders set.
 
     Attributes:
-        model: Model that is loaded.
-        version: Its version.
+        model: Name of the loaded model.
+        version: Version of the loaded model.
         role: Role of the engine.
-        fencing_number: Number of the last order that was taken.
-        checks_fencing: Whether lower numbers are refused.
+        fencing_number: Fencing number of the last accepted order.
+        checks_fencing: Whether orders with a lower number are rejected.
         load_s: Time to load a model.
     """
 
     __slots__ = (
-        "_loading",
+        "_load_timer",
         "checks_fencing",
         "fencing_number",
         "load_s",
@@ -89,17 +91,17 @@
         self.fencing_number = 0
         self.checks_fencing = checks_fencing
         self.load_s = load_s
-        self._loading: asyncio.TimerHandle | None = None
+        self._load_timer: asyncio.TimerHandle | None = None
 
-    def apply(self, order: Order, loaded: Callable[[], None]) -> bool:
-        """Carries out an order unless its number is old.
+    def apply(self, order: Order, on_loaded: Callable[[], None]) -> bool:
+        """Applies an order unless its fencing number is stale.
 
         Args:
             order: The order.
-            loaded: Is called once a model has been loaded.
+            on_loaded: Called once a model has been loaded.
 
         Returns:
-            Whether the order was taken.
+            Whether the order was accepted.
         """
         if self.checks_fencing and order.fencing_number < self.fencing_number:
             return False
@@ -108,17 +110,17 @@
             case OrderKind.SET_ROLE:
                 self.role = order.name
             case OrderKind.LOAD_MODEL:
-                self._start_load(order, loaded)
+                self._start_load(order, on_loaded)
         return True
 
     def cancel_load(self) -> None:
-        """Drops a load that is under way, as a crash does."""
-        if self._loading is not None:
-            self._loading.cancel()
-            self._loading = None
+        """Cancels a model load in progress, as a crash does."""
+        if self._load_timer is not None:
+            self._load_timer.cancel()
+            self._load_timer = None
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the state as the API shows it."""
+        """Returns the state in the API's JSON form."""
         return {
             "model": self.model,
             "version": self.version,
@@ -126,20 +128,20 @@
             "fencing_number": self.fencing_number,
         }
 
-    def _start_load(self, order: Order, loaded: Callable[[], None]) -> None:
-        self.cancel_load()  # the newer order replaces the older one
+    def _start_load(self, order: Order, on_loaded: Callable[[], None]) -> None:
+        self.cancel_load()  # the newer order supersedes the older one
         if (order.name, order.version) == (self.model, self.version):
             return
         loop = asyncio.get_running_loop()
-        self._loading = loop.call_later(
-            self.load_s, self._finish_load, order, loaded
+        self._load_timer = loop.call_later(
+            self.load_s, self._finish_load, order, on_loaded
         )
 
-    def _finish_load(self, order: Order, loaded: Callable[[], None]) -> None:
-        self._loading = None
+    def _finish_load(self, order: Order, on_loaded: Callable[[], None]) -> None:
+        self._load_timer = None
         self.model = order.name
         self.version = order.version
-        loaded()
+        on_loaded()
 
 
 __all__ = ["Order", "OrderState", "OrderKind", "parse_order"]
--- a/src/auburnswitch/standins/engine_recorder.py
+++ b/src/auburnswitch/standins/engine_recorder.py
@@ -1,4 +1,4 @@
-"""What an engine writes to the history."""
+"""Writes an engine's records to the history."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class EngineRecorder:
-    """Writes an engine's records.
+    """Writes the records of one engine to the history.
 
     Attributes:
         actor: Name of the engine.
-        history: Where the records go.
+        history: Receives the records.
         batch: The engine's jobs.
     """
 
@@ -33,7 +33,7 @@
         self.batch = batch
 
     def record(self, kind: HistoryKind) -> None:
-        """Records something that has no details."""
+        """Adds a record without fields."""
         self.history.add(self.actor, kind)
 
     def record_boot(self, boot_id: str) -> None:
@@ -41,7 +41,7 @@
         self.history.add(self.actor, HistoryKind.BOOTED, boot_id=boot_id)
 
     def record_crash(self, cause: str, boot_id: str) -> None:
-        """Records a crash and what was in flight."""
+        """Records a crash and the attempts in flight."""
         jobs = self.batch.jobs()
         self.history.add(
             self.actor,
@@ -68,7 +68,7 @@
         )
 
     def record_job(self, kind: HistoryKind, job: Job) -> None:
-        """Records what became of a job."""
+        """Records a state change of a job and the memory in use."""
         self.history.add(
             self.actor,
             kind,
@@ -79,9 +79,11 @@
             memory_used=self.batch.memory_used_tokens,
         )
 
-    def record_order(self, order: Order, *, taken: bool) -> None:
-        """Records an order that was applied or refused."""
-        kind = HistoryKind.ORDER_APPLIED if taken else HistoryKind.ORDER_REFUSED
+    def record_order(self, order: Order, *, accepted: bool) -> None:
+        """Records whether an order was applied or refused."""
+        kind = (
+            HistoryKind.ORDER_APPLIED if accepted else HistoryKind.ORDER_REFUSED
+        )
         self.history.add(self.actor, kind, **order.to_json())
 
 
--- a/src/auburnswitch/standins/engine_requests.py
+++ b/src/auburnswitch/standins/engine_requests.py
@@ -1,4 +1,4 @@
-"""Requests as engines read them, checked."""
+"""Parses and validates requests to an engine."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 
 class KvCacheRef:
-    """A KV cache of an earlier segment, at the engine that holds it.
+    """Reference to the KV cache of an earlier segment at another engine.
 
     Attributes:
-        url: Base URL of that engine.
+        url: Base URL of the engine that holds the cache.
         kv_id: Id of the cache, which ends with a digest.
-        digest: Digest of the prompt up to the segment's end.
+        digest: Digest of the prompt up to the end of the segment.
+
+    Raises:
+        ValueError: The id does not end with a digest.
     """
 
     __slots__ = ("digest", "kv_id", "url")
@@ -31,11 +34,11 @@
         self.kv_id = kv_id
         self.digest = kv_id.rpartition(".")[2]
         if not DIGEST_PATTERN.fullmatch(self.digest):
-            raise ValueError(f"not the id of a KV cache: {kv_id}")
+            raise ValueError(f"invalid KV cache id: {kv_id}")
 
 
 class RequestIds:
-    """Who sent a request: the ids in its headers."""
+    """Ids that identify a request, its attempt and the sending daemon."""
 
     __slots__ = ("attempt", "member_id", "request_id")
 
@@ -51,14 +54,14 @@
     """The body of a completion or prefill request.
 
     Attributes:
-        model: Model name, perhaps empty.
-        prompt: The prompt, made from the messages of a chat.
-        max_tokens: Tokens of the answer.
+        model: Model name; empty accepts any model.
+        prompt: The prompt; for a chat, built from its messages.
+        max_tokens: Number of tokens to decode.
         stream: Whether the answer is streamed.
-        priority: A lower number runs first.
+        priority: Lower numbers run first.
         kv_chain: KV caches of the prompt's earlier segments.
-        continue_text: Part of the answer that is already delivered.
-        chat: Whether the answer has the shape of a chat.
+        continue_text: Part of the answer that has already been delivered.
+        chat: Whether the response has the chat completion format.
     """
 
     __slots__ = (
@@ -95,10 +98,10 @@
 
 
 async def read_json_object(request: Request) -> dict[str, Any]:
-    """Reads a body that must be a JSON object.
+    """Reads a request body that must be a JSON object.
 
     Raises:
-        ValueError: It is not.
+        ValueError: The body is not a JSON object.
     """
     body = json.loads(await request.body())
     if not isinstance(body, dict):
@@ -123,25 +126,25 @@
 def read_prefill_request_ids(
     request: Request, body: dict[str, Any], default_id: str
 ) -> RequestIds:
-    """Reads the ids of a prefill, which may stand in its body.
+    """Reads the ids of a prefill request, which its body may override.
 
     Raises:
-        ValueError: An id has a wrong type.
+        ValueError: An id has the wrong type.
     """
-    caller = read_request_ids(request, default_id)
-    caller.request_id = _field(body, "request_id", str, caller.request_id)
-    caller.attempt = _field(body, "attempt", int, caller.attempt)
-    return caller
+    ids = read_request_ids(request, default_id)
+    ids.request_id = _field(body, "request_id", str, ids.request_id)
+    ids.attempt = _field(body, "attempt", int, ids.attempt)
+    return ids
 
 
 def parse_request(body: dict[str, Any], *, chat: bool) -> EngineRequest:
-    """Builds a request from its body.
+    """Parses a completion or prefill request from its body.
 
     Raises:
-        ValueError: A field has a wrong type or value.
+        ValueError: A field has the wrong type or an invalid value.
     """
     if chat:
-        prompt = chat_prompt(_messages(body))
+        prompt = chat_prompt(_parse_messages(body))
     else:
         prompt = _field(body, "prompt", str, "")
     if not prompt:
@@ -155,38 +158,42 @@
         max_tokens=max_tokens,
         stream=_field(body, "stream", bool, False),
         priority=_field(body, "priority", int, 0),
-        kv_chain=_kv_chain(body),
+        kv_chain=_parse_kv_chain(body),
         continue_text=_field(body, "continue_text", str, ""),
         chat=chat,
     )
 
 
-def _field(body: dict[str, Any], name: str, kind: type, default: Any) -> Any:
+def _field(
+    body: dict[str, Any], name: str, expected_type: type, default: Any
+) -> Any:
     value = body.get(name)
     if value is None:
         return default
-    if type(value) is not kind:
-        raise ValueError(f"{name} must be of type {kind.__name__}")
+    if type(value) is not expected_type:
+        raise ValueError(f"{name} must be of type {expected_type.__name__}")
     return value
 
 
-def _messages(body: dict[str, Any]) -> list[dict[str, Any]]:
+def _parse_messages(body: dict[str, Any]) -> list[dict[str, Any]]:
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise ValueError("messages must be a list")
+        raise ValueError("messages must be a non-empty list")
     if not all(isinstance(message, dict) for message in messages):
         raise ValueError("messages must be objects")
     return messages
 
 
-def _kv_chain(body: dict[str, Any]) -> list[KvCacheRef]:
-    links = []
+def _parse_kv_chain(body: dict[str, Any]) -> list[KvCacheRef]:
+    kv_refs = []
     for item in _field(body, "kv_chain", list, []):
         if not isinstance(item, dict):
-            raise ValueError("kv_chain must hold objects")
+            raise ValueError("kv_chain must contain objects")
         url = _field(item, "url", str, "")
-        links.append(KvCacheRef(url=url, kv_id=_field(item, "kv_id", str, "")))
-    return links
+        kv_refs.append(
+            KvCacheRef(url=url, kv_id=_field(item, "kv_id", str, ""))
+        )
+    return kv_refs
 
 
 __all__ = [
--- a/src/auburnswitch/standins/engine_responses.py
+++ b/src/auburnswitch/standins/engine_responses.py
@@ -1,4 +1,4 @@
-"""Answers of an engine: SSE frames and whole objects."""
+"""Responses of an engine: SSE events and complete JSON objects."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def finish_reason(job: Job) -> str | None:
-    """Returns why a job ended, or None while it runs."""
+    """Returns why a job ended, or None if it has not ended."""
     match job.state:
         case JobState.FINISHED:
             return FINISHED_REASON
@@ -43,7 +43,7 @@
 
 
 def completion_response(job: Job, work: Completion) -> dict[str, Any]:
-    """Returns the answer to a request that is not streamed."""
+    """Returns the response body of a request that is not streamed."""
     text = answer_text(job.digest, job.produced_tokens, work.first_token)
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason(job)}
     if work.chat:
@@ -59,10 +59,10 @@
 
 
 class SseEventWriter:
-    """Builds the frames of one stream.
+    """Builds the SSE events of one stream.
 
     Attributes:
-        job: The job that makes the tokens.
+        job: The job that produces the tokens.
     """
 
     __slots__ = ("_first_token", "_head", "_tail", "_text", "job")
@@ -81,37 +81,39 @@
             self._tail = '"}'
 
     def token_events(self, first: int, end: int) -> str:
-        """Returns the frames of the tokens from `first` up to `end`."""
+        """Returns the events of the tokens in `range(first, end)`."""
         job = self.job
         last = -1
         if job.state is JobState.FINISHED:
             last = job.produced_tokens - 1
         return "".join(
-            self._token_frame(number, finished=number == last)
+            self._token_event(number, finished=number == last)
             for number in range(first, end)
         )
 
     def cancelled_event(self, number: int) -> str:
-        """Returns the last frame of a cancelled stream, without a token."""
-        return self._frame(number, "", finished=True)
+        """Returns the last event of a cancelled stream, without a token."""
+        return self._event(number, "", finished=True)
 
-    def _token_frame(self, number: int, *, finished: bool) -> str:
+    def _token_event(self, number: int, *, finished: bool) -> str:
         token = answer_token(self.job.digest, self._first_token + number)
-        return self._frame(number, token, finished=finished)
+        return self._event(number, token, finished=finished)
 
-    def _frame(self, number: int, token: str, *, finished: bool) -> str:
+    def _event(self, number: int, token: str, *, finished: bool) -> str:
         start = f"{self._head}{number}{self._text}{token}{self._tail}"
         if not finished:
             return start + ',"finish_reason":null}]}\n\n'
         reason = finish_reason(self.job)
-        counts = json.dumps(usage(self.job))
-        return f'{start},"finish_reason":"{reason}"}}],"usage":{counts}}}\n\n'
+        usage_json = json.dumps(usage(self.job))
+        return (
+            f'{start},"finish_reason":"{reason}"}}],"usage":{usage_json}}}\n\n'
+        )
 
 
 class SseResponse(Response):
-    """Streams a job's frames until it ends or the caller goes.
+    """Streams a job's events until the job ends or the client disconnects.
 
-    The job goes on when the caller has gone.
+    A disconnect does not cancel the job.
     """
 
     media_type = "text/event-stream"
@@ -131,16 +133,16 @@
         del self.headers["content-length"]
         self.job = job
         self.writer = SseEventWriter(job=job, work=work)
-        self.next = first
+        self.next_token = first
         self.history = history
         self.actor = actor
-        self.caller_gone = False
+        self.client_disconnected = False
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Writes the stream."""
-        watcher = asyncio.create_task(self._watch_caller(receive))
+        """Sends the response as an ASGI application."""
+        watcher = asyncio.create_task(self._watch_disconnect(receive))
         try:
             await send(
                 {
@@ -149,19 +151,19 @@
                     "headers": self.raw_headers,
                 }
             )
-            await self._send_frames(send)
+            await self._send_events(send)
         finally:
             watcher.cancel()
 
-    async def _watch_caller(self, receive: Receive) -> None:
+    async def _watch_disconnect(self, receive: Receive) -> None:
         await wait_for_disconnect(receive)
-        self.caller_gone = True
+        self.client_disconnected = True
         self.job.notify_waiters()
 
-    async def _send_frames(self, send: Send) -> None:
+    async def _send_events(self, send: Send) -> None:
         job = self.job
-        while not self.caller_gone:
-            if self.next < job.produced_tokens:
+        while not self.client_disconnected:
+            if self.next_token < job.produced_tokens:
                 await self._send_produced(send)
             elif job.active:
                 await job.wait_for_change()
@@ -170,8 +172,8 @@
                 return
 
     async def _send_produced(self, send: Send) -> None:
-        first, end = self.next, self.job.produced_tokens
-        self.next = end
+        first, end = self.next_token, self.job.produced_tokens
+        self.next_token = end
         self.history.add(
             self.actor,
             HistoryKind.FRAMES_SENT,
@@ -180,21 +182,23 @@
             first=first,
             count=end - first,
         )
-        await _send_text(send, self.writer.token_events(first, end), more=True)
+        await _send_text(
+            send, self.writer.token_events(first, end), more_body=True
+        )
 
     async def _send_end(self, send: Send) -> None:
         text = DONE_EVENT
         if self.job.state is JobState.CANCELLED:
-            text = self.writer.cancelled_event(self.next) + text
-        await _send_text(send, text, more=False)
+            text = self.writer.cancelled_event(self.next_token) + text
+        await _send_text(send, text, more_body=False)
 
 
-async def _send_text(send: Send, text: str, *, more: bool) -> None:
+async def _send_text(send: Send, text: str, *, more_body: bool) -> None:
     await send(
         {
             "type": "http.response.body",
             "body": text.encode("ascii"),
-            "more_body": more,
+            "more_body": more_body,
         }
     )
 
--- a/src/auburnswitch/standins/history.py
+++ b/src/auburnswitch/standins/history.py
@@ -1,4 +1,4 @@
-"""An append-only history of what the stand-ins did."""
+"""An append-only history of the stand-ins' actions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HistoryKind(enum.StrEnum):
-    """What a record tells."""
+    """Kind of action that a record describes."""
 
     REQUEST_STARTED = "request_started"
     FRAMES_SENT = "frames_sent"
@@ -33,13 +33,13 @@
 
 
 class HistoryRecord:
-    """One thing that a stand-in did.
+    """One action of a stand-in.
 
     Attributes:
-        time_s: Time of the event loop.
+        time_s: Event loop time of the action.
         actor: Name of the stand-in.
-        kind: What was done.
-        fields: Details, by name, as JSON types.
+        kind: Kind of the action.
+        fields: Details by name, as values of JSON types.
     """
 
     __slots__ = ("actor", "fields", "kind", "time_s")
@@ -64,11 +64,11 @@
 
 
 class History:
-    """Records of any number of stand-ins, in the order they were made.
+    """Records of any number of stand-ins, in order of addition.
 
     Attributes:
         records: All records.
-        keep_frames: Whether records of sent frames are kept.
+        keep_frames: Whether records of kind FRAMES_SENT are kept.
     """
 
     __slots__ = ("keep_frames", "records")
@@ -78,7 +78,7 @@
         self.keep_frames = keep_frames
 
     def add(self, actor: str, kind: HistoryKind, /, **fields: Any) -> None:
-        """Appends a record with the event loop's time."""
+        """Appends a record with the current event loop time."""
         if kind is HistoryKind.FRAMES_SENT and not self.keep_frames:
             return
         now_s = asyncio.get_running_loop().time()
@@ -90,7 +90,7 @@
     def select(
         self, *kinds: HistoryKind, actor: str | None = None
     ) -> Iterator[HistoryRecord]:
-        """Yields the records of some kinds, of one actor or of all."""
+        """Yields the records of the given kinds, of one actor or of all."""
         for record in self.records:
             if actor is not None and record.actor != actor:
                 continue
--- a/src/auburnswitch/standins/installation_objects.py
+++ b/src/auburnswitch/standins/installation_objects.py
@@ -1,4 +1,4 @@
-"""What operators and endpoints of the platform write into its store."""
+"""Builds and writes the platform objects of operators and endpoints."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 def make_route(
-    prefix: str, kind: str, service: str, **more: Any
+    prefix: str, kind: str, service: str, **overrides: Any
 ) -> dict[str, Any]:
-    """Returns a route of a configuration; further fields go before."""
+    """Returns a route of a configuration; `overrides` replace its fields."""
     return {
         "Name": prefix.strip("/"),
         "Host": HOST,
@@ -32,12 +32,17 @@
         "TargetLatencyMs": 300,
         "MaxAttempts": 2,
         "Service": service,
-        **more,
+        **overrides,
     }
 
 
-def make_config(version: int, keys: list[str], **more: Any) -> dict[str, Any]:
-    """Returns a configuration with a chat, a read and a booking route."""
+def make_config(
+    version: int, keys: list[str], **overrides: Any
+) -> dict[str, Any]:
+    """Returns a configuration with a chat, a read and a booking route.
+
+    `overrides` replace fields of the configuration.
+    """
     stream = {"GapAimMs": 250, "StreamResume": True}
     return {
         "Version": version,
@@ -51,12 +56,12 @@
             {"Name": "desk", "HealthPath": "/health"},
         ],
         "Tenants": [{"Name": "walk-ins", "ApiKeys": keys}],
-        **more,
+        **overrides,
     }
 
 
 def put_config(store: InstallationStore, config: dict[str, Any]) -> None:
-    """Writes a configuration."""
+    """Writes the configuration to the store."""
     store.put("config", "main", config)
 
 
@@ -65,9 +70,9 @@
     endpoint_id: str,
     service: str,
     address: str,
-    **more: Any,
+    **overrides: Any,
 ) -> None:
-    """Writes an endpoint's entry; further fields go before."""
+    """Writes an endpoint's entry; `overrides` replace its fields."""
     entry = {
         "Service": service,
         "Address": address,
@@ -75,7 +80,7 @@
         "Slots": SLOTS,
         "State": "ready",
         "ColdRemainingMs": 0,
-        **more,
+        **overrides,
     }
     store.put("servers", endpoint_id, entry)
 
@@ -86,12 +91,12 @@
 
 
 def close_zone(store: InstallationStore, zone: str) -> None:
-    """Asks that a zone's endpoints get nothing more."""
+    """Closes a zone, whose endpoints must then get no more requests."""
     store.put("evacuations", zone, {})
 
 
 def open_zone(store: InstallationStore, zone: str) -> None:
-    """Gives a zone's endpoints back."""
+    """Reopens a closed zone."""
     store.remove("evacuations", zone)
 
 
--- a/src/auburnswitch/standins/installation_store.py
+++ b/src/auburnswitch/standins/installation_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, in the form the adapter speaks."""
+"""A stand-in for the platform's object store with its native HTTP API."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 class InstallationStore:
-    """Holds objects by kind and name, with a history of their changes.
+    """Stores objects by kind and name, with a history of their changes.
 
     Attributes:
         objects: Objects by kind and name.
-        revision: Number of the last change.
-        unavailable: Every call is refused with 503.
-        calls: Calls received.
-        page_size: Objects in one page of a list.
+        revision: Revision of the last change.
+        unavailable: Whether all calls are answered 503.
+        calls: Number of calls received.
+        page_size: Maximum number of objects in one page of a list.
     """
 
     def __init__(self) -> None:
@@ -48,15 +48,21 @@
         self.calls = 0
         self.page_size = 500
         self._history: list[_Event] = []
-        self._history_from = 0
+        self._compacted_revision = 0
         self._changed = asyncio.Event()
 
     def put(self, kind: str, name: str, spec: Any) -> int:
-        """Writes an object as the operators or an endpoint would."""
+        """Writes an object as an operator or an endpoint does.
+
+        Returns:
+            The new revision.
+        """
         self.revision += 1
-        known = self.objects.setdefault(kind, {})
-        created = known[name]["Metadata"]["CreateRev"] if name in known else 0
-        known[name] = {
+        objects = self.objects.setdefault(kind, {})
+        created = (
+            objects[name]["Metadata"]["CreateRev"] if name in objects else 0
+        )
+        objects[name] = {
             "Metadata": {
                 "Name": name,
                 "Rev": self.revision,
@@ -67,21 +73,21 @@
             "Spec": spec,
             "Status": None,
         }
-        self._note(kind, known[name], deleted=False)
+        self._record_event(kind, objects[name], deleted=False)
         return self.revision
 
     def remove(self, kind: str, name: str) -> None:
-        """Removes an object."""
+        """Removes an object if it exists."""
         stored = self.objects.get(kind, {}).pop(name, None)
         if stored is not None:
             self.revision += 1
-            self._note(kind, stored, deleted=True)
+            self._record_event(kind, stored, deleted=True)
 
     def compact_history(self) -> None:
-        """Drops the history, so that earlier watches end with 410."""
+        """Drops the history, so that watches of earlier revisions get 410."""
         self._history.clear()
-        self._history_from = self.revision
-        self._wake()
+        self._compacted_revision = self.revision
+        self._notify_watchers()
 
     def make_app(self) -> Starlette:
         """Returns the ASGI application."""
@@ -95,7 +101,7 @@
             ]
         )
 
-    def _note(
+    def _record_event(
         self, kind: str, stored: dict[str, Any], *, deleted: bool
     ) -> None:
         event = _Event(
@@ -105,27 +111,27 @@
             deleted=deleted,
         )
         self._history.append(event)
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _refused(self) -> Response | None:
+    def _rejection(self) -> Response | None:
         self.calls += 1
         return Response(status_code=_UNAVAILABLE) if self.unavailable else None
 
     async def _get(self, request: Request) -> Response:
-        if refused := self._refused():
-            return refused
+        if rejection := self._rejection():
+            return rejection
         kind = request.path_params["kind"]
         query = request.query_params
         if "Watch" in query:
             wait_s = float(query.get("WaitMs", 0)) / _MS_PER_S
             return await self._watch(kind, int(query["Watch"]), wait_s)
-        after = query.get("AfterRev", "")
+        after_name = query.get("AfterRev", "")
         found = sorted(self.objects.get(kind, {}).items())
-        items = [stored for name, stored in found if name > after]
+        items = [stored for name, stored in found if name > after_name]
         page = items[: self.page_size]
         return JSONResponse(
             {
@@ -137,32 +143,32 @@
 
     async def _watch(self, kind: str, revision: int, wait_s: float) -> Response:
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + wait_s
+        deadline_s = loop.time() + wait_s
         while True:
-            if revision < self._history_from:
+            if revision < self._compacted_revision:
                 return Response(status_code=_GONE)
             events = [
                 event
                 for event in self._history
                 if event.kind == kind and event.revision > revision
             ]
-            left_s = ends_at - loop.time()
-            if events or left_s <= 0 or self.unavailable:
+            remaining_s = deadline_s - loop.time()
+            if events or remaining_s <= 0 or self.unavailable:
                 break
             changed = self._changed
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
             except TimeoutError:
                 continue
         if self.unavailable:
             return Response(status_code=_UNAVAILABLE)
-        shown = [{"Object": e.stored, "Deleted": e.deleted} for e in events]
-        return JSONResponse({"events": shown, "AsOf": self.revision})
+        changes = [{"Object": e.stored, "Deleted": e.deleted} for e in events]
+        return JSONResponse({"events": changes, "AsOf": self.revision})
 
     async def _create(self, request: Request) -> Response:
-        if refused := self._refused():
-            return refused
+        if rejection := self._rejection():
+            return rejection
         kind = request.path_params["kind"]
         data = await request.json()
         name = data["Metadata"]["Name"]
@@ -172,8 +178,8 @@
         return JSONResponse(self.objects[kind][name])
 
     async def _replace(self, request: Request) -> Response:
-        if refused := self._refused():
-            return refused
+        if rejection := self._rejection():
+            return rejection
         kind, name = request.path_params["kind"], request.path_params["name"]
         if name not in self.objects.get(kind, {}):
             return Response(status_code=_NOT_FOUND)
@@ -182,8 +188,8 @@
         return JSONResponse(self.objects[kind][name])
 
     async def _delete(self, request: Request) -> Response:
-        if refused := self._refused():
-            return refused
+        if rejection := self._rejection():
+            return rejection
         self.remove(request.path_params["kind"], request.path_params["name"])
         return Response(status_code=_OK)
 
--- a/src/auburnswitch/standins/instances.py
+++ b/src/auburnswitch/standins/instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of instances."""
+"""The platform's list of instances, which readers get with a lag."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform says about an instance."""
+    """State of an instance as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Instance:
-    """An entry of the list."""
+    """An entry of the instance list."""
 
     __slots__ = ("name", "state", "zone")
 
@@ -28,35 +28,37 @@
         self.state = state
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the entry as the API shows it."""
+        """Returns the entry in the API's JSON form."""
         return {"name": self.name, "zone": self.zone, "state": self.state}
 
 
 class InstanceList:
-    """Instances by name, read as they were a lag ago."""
+    """Instances by name; readers get the list as it was `lag_s` ago."""
 
-    __slots__ = ("_entries", "_past")
+    __slots__ = ("_entries", "_lagged_entries")
 
     def __init__(self, *, lag_s: float = DEFAULT_INSTANCES_LAG_S) -> None:
         self._entries: dict[str, Instance] = {}
-        self._past: LaggedValue[list[Instance]] = LaggedValue(lag_s=lag_s)
-        self._past.record([])
+        self._lagged_entries: LaggedValue[list[Instance]] = LaggedValue(
+            lag_s=lag_s
+        )
+        self._lagged_entries.record([])
 
     def set(
         self, name: str, zone: str, state: InstanceState = InstanceState.LIVE
     ) -> None:
-        """Adds or changes an entry."""
+        """Adds or replaces an entry."""
         self._entries[name] = Instance(name=name, zone=zone, state=state)
-        self._past.record(list(self._entries.values()))
+        self._lagged_entries.record(list(self._entries.values()))
 
     def remove(self, name: str) -> None:
-        """Removes an entry."""
+        """Removes an entry if it exists."""
         self._entries.pop(name, None)
-        self._past.record(list(self._entries.values()))
+        self._lagged_entries.record(list(self._entries.values()))
 
     def read(self) -> list[Instance]:
-        """Returns the entries of a lag ago."""
-        return self._past.read()
+        """Returns the entries as they were `lag_s` ago."""
+        return self._lagged_entries.read()
 
 
 __all__ = ["Instance", "InstanceList", "InstanceState"]
--- a/src/auburnswitch/standins/lagged_value.py
+++ b/src/auburnswitch/standins/lagged_value.py
@@ -1,4 +1,4 @@
-"""A value that is read as it was a fixed time ago."""
+"""A value that readers get with a fixed lag."""
 
 from __future__ import annotations
 
@@ -11,43 +11,45 @@
 
 
 class LaggedValue(Generic[ValueT]):
-    """Remembers a value's past for as long as its lag.
+    """Keeps past values for the duration of the lag.
 
     Attributes:
-        lag_s: Age of the value that readers get.
+        lag_s: Age of the value that `read` returns.
     """
 
-    __slots__ = ("_past", "lag_s")
+    __slots__ = ("_history", "lag_s")
 
     def __init__(self, *, lag_s: float) -> None:
         self.lag_s = lag_s
-        self._past: collections.deque[tuple[float, ValueT]] = (
+        self._history: collections.deque[tuple[float, ValueT]] = (
             collections.deque()
         )
 
     def record(self, value: ValueT) -> None:
-        """Sets the present value."""
+        """Sets the current value."""
         now_s = asyncio.get_running_loop().time()
-        if not self._past:
-            self._past.append((-math.inf, value))  # there is nothing older
+        if not self._history:
+            self._history.append((-math.inf, value))  # no older value
             return
-        if self._past[-1][0] == now_s:
-            self._past.pop()
-        self._past.append((now_s, value))
+        if self._history[-1][0] == now_s:
+            self._history.pop()
+        self._history.append((now_s, value))
         self._prune(now_s)
 
     def read(self) -> ValueT:
-        """Returns the value of a lag ago, or the first one ever recorded."""
+        """Returns the value as of `lag_s` ago, or else the oldest value."""
         self._prune(asyncio.get_running_loop().time())
-        return self._past[0][1]
+        return self._history[0][1]
 
     def clear(self) -> None:
-        """Forgets the past, as a restart does."""
-        self._past.clear()
+        """Drops all values, as a restart does."""
+        self._history.clear()
 
     def _prune(self, now_s: float) -> None:
-        while len(self._past) > 1 and self._past[1][0] <= now_s - self.lag_s:
-            self._past.popleft()
+        while (
+            len(self._history) > 1 and self._history[1][0] <= now_s - self.lag_s
+        ):
+            self._history.popleft()
 
 
 __all__ = ["LaggedValue"]
--- a/src/auburnswitch/standins/listener.py
+++ b/src/auburnswitch/standins/listener.py
@@ -1,4 +1,4 @@
-"""A listener that can break its connections, pause and be down for a time."""
+"""An HTTP listener that can abort connections, pause and be down."""
 
 from __future__ import annotations
 
@@ -23,20 +23,21 @@
 
 
 def seconds_until(time_s: float) -> float:
-    """Returns the time left, 0 once it is too short for a clock to show.
+    """Returns the remaining time, 0 if it is below the clock's tolerance.
 
-    A timer may fire a clock tick early. Waiting again for the rest would not
-    end on a loop whose clock only moves while nothing is ready.
+    A timer may fire one clock tick early. Waiting again for the remainder would
+    never finish on an event loop whose clock only advances while no callback is
+    ready.
     """
-    left_s = time_s - asyncio.get_running_loop().time()
-    return left_s if left_s > CLOCK_TOLERANCE_S else 0.0
+    remaining_s = time_s - asyncio.get_running_loop().time()
+    return remaining_s if remaining_s > CLOCK_TOLERANCE_S else 0.0
 
 
 class Pause:
-    """A time until which a stand-in does nothing, as a stopped process.
+    """Suspends a stand-in until a given time, like a stopped process.
 
     Attributes:
-        until_s: End of the pause on the event loop's clock.
+        until_s: Event loop time at which the pause ends.
     """
 
     __slots__ = ("_ended", "until_s")
@@ -46,41 +47,41 @@
         self._ended = asyncio.Event()
 
     def extend(self, seconds: float) -> None:
-        """Pauses for some seconds from now."""
+        """Pauses for at least some seconds from now."""
         now_s = asyncio.get_running_loop().time()
         self.until_s = max(self.until_s, now_s + seconds)
         self._ended.clear()
 
     def end(self) -> None:
-        """Ends the pause at once, as a new process does."""
+        """Ends the pause immediately, as a process restart does."""
         self.until_s = 0.0
         self._ended.set()
 
     async def wait(self) -> None:
         """Returns once the pause is over."""
-        while left_s := seconds_until(self.until_s):
+        while remaining_s := seconds_until(self.until_s):
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._ended.wait(), left_s)
+                await asyncio.wait_for(self._ended.wait(), remaining_s)
 
 
 class Listener:
-    """Serves an application and can fail the ways that processes fail.
+    """Serves an application and simulates faults of its process.
 
     Attributes:
-        app: The application.
-        host: IP address it listens on.
-        port: TCP port; set when the listener has opened.
-        pause: While it lasts, requests are accepted but not answered.
+        app: The ASGI application.
+        host: IP address to listen on.
+        port: TCP port; the actual one once the listener has opened.
+        pause: While active, requests are accepted but not answered.
     """
 
     __slots__ = (
-        "_aborted",
-        "_down",
-        "_open",
-        "_requests",
+        "_aborted_tasks",
+        "_accepting",
+        "_reopen_at_s",
+        "_request_tasks",
         "_server",
         "_silent_until_s",
-        "_up_at_s",
+        "_stop_requested",
         "app",
         "host",
         "pause",
@@ -95,11 +96,11 @@
         self.port = port
         self.pause = pause
         self._server: HttpServer | None = None
-        self._open = False
-        self._requests: dict[asyncio.Task[None], None] = {}  # keeps order
-        self._aborted: set[asyncio.Task[None]] = set()
-        self._down = asyncio.Event()
-        self._up_at_s = 0.0
+        self._accepting = False
+        self._request_tasks: dict[asyncio.Task[None], None] = {}  # ordered set
+        self._aborted_tasks: set[asyncio.Task[None]] = set()
+        self._stop_requested = asyncio.Event()
+        self._reopen_at_s = 0.0
         self._silent_until_s = 0.0
 
     @property
@@ -110,65 +111,69 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Runs one request as an ASGI application."""
+        """Serves one request as an ASGI application."""
         task = asyncio.current_task()
         assert task is not None
-        self._requests[task] = None
+        self._request_tasks[task] = None
         try:
             await self._run(scope, receive, send)
         except asyncio.CancelledError:
-            if task not in self._aborted:
+            if task not in self._aborted_tasks:
                 raise
-            await wait_for_disconnect(receive)  # the server must see it first
+            await wait_for_disconnect(
+                receive
+            )  # the server must handle the disconnect first
         finally:
-            del self._requests[task]
-            self._aborted.discard(task)
+            del self._request_tasks[task]
+            self._aborted_tasks.discard(task)
 
     async def _run(self, scope: Scope, receive: Receive, send: Send) -> None:
-        if not self._open:
-            await self.abort_request(scope, receive)  # it came too late
+        if not self._accepting:
+            await self.abort_request(scope, receive)  # received after the stop
             return
         silent_s = seconds_until(self._silent_until_s)
         if silent_s:
             await asyncio.sleep(silent_s)
-            await self.abort_request(scope, receive)  # its process is gone
+            await self.abort_request(
+                scope, receive
+            )  # simulates a terminated process
             return
         ARRIVAL_TIME_S.set(asyncio.get_running_loop().time())
         await self.pause.wait()
         await self.app(scope, receive, send)
 
     def stop_for(self, seconds: float, *, silent: bool = False) -> None:
-        """Breaks every connection and is down for a time.
+        """Aborts all connections and stops serving for a time.
 
         Args:
-            seconds: Time until requests are accepted again.
-            silent: Whether connections are accepted but not answered in that
-                time, instead of being refused.
+            seconds: Time until requests are served again.
+            silent: Whether connections are accepted but not answered during
+                that time, instead of being refused.
         """
         now_s = asyncio.get_running_loop().time()
         self.abort_connections()
         if silent:
             self._silent_until_s = now_s + seconds
             return
-        self._up_at_s = now_s + seconds
-        self._open = False
-        self._down.set()
+        self._reopen_at_s = now_s + seconds
+        self._accepting = False
+        self._stop_requested.set()
         if self._server is not None:
             for server in self._server.server.servers:
                 server.close()
 
     def abort_connections(self) -> None:
-        """Breaks every connection and cancels its request."""
+        """Aborts all connections and cancels their requests."""
         if self._server is not None:
             connections = self._server.server.server_state.connections
             for connection in sorted(connections, key=_client_address):
                 connection.transport.abort()
-        for task in list(self._requests):
-            self._aborted.add(task)
+        for task in list(self._request_tasks):
+            self._aborted_tasks.add(task)
             task.cancel()
 
     async def abort_request(self, scope: Scope, receive: Receive) -> None:
-        """Breaks the connection of one request."""
+        """Aborts the connection of one request."""
         assert self._server is not None
         for connection in list(self._server.server.server_state.connections):
             if connection.scope is scope:
@@ -176,10 +181,14 @@
         await wait_for_disconnect(receive)
 
     async def run(self, started: asyncio.Future[None]) -> None:
-        """Listens until cancelled, opening again after each time down.
+        """Listens until cancelled and reopens after each downtime.
 
         Args:
-            started: Is done once the listener has opened for the first time.
+            started: Completed once the listener has opened for the first time
+                or has failed to.
+
+        Raises:
+            ListenError: The address cannot be bound again after a downtime.
         """
         while True:
             try:
@@ -189,11 +198,11 @@
                     raise
                 started.set_exception(error)
                 return
-            while left_s := seconds_until(self._up_at_s):
-                await asyncio.sleep(left_s)
+            while remaining_s := seconds_until(self._reopen_at_s):
+                await asyncio.sleep(remaining_s)
 
     async def _listen_once(self, started: asyncio.Future[None]) -> None:
-        self._down.clear()
+        self._stop_requested.clear()
         async with open_http_server(
             self,
             host=self.host,
@@ -201,11 +210,11 @@
             max_header_bytes=MAX_HEADER_BYTES,
         ) as server:
             self._server = server
-            self._open = True
+            self._accepting = True
             self.port = server.port
             if not started.done():
                 started.set_result(None)
-            await self._down.wait()
+            await self._stop_requested.wait()
 
 
 def _client_address(connection: H11Protocol) -> tuple[str, int]:
@@ -216,13 +225,13 @@
 async def open_listener(
     app: ASGIApp, *, host: str, port: int, pause: Pause | None = None
 ) -> AsyncIterator[Listener]:
-    """Serves an application; connections are broken at the end.
+    """Serves an application until the context exits, then aborts connections.
 
     Args:
-        app: The application.
+        app: The ASGI application.
         host: IP address to listen on.
-        port: TCP port to listen on; 0 takes a free one.
-        pause: While it lasts, requests are accepted but not answered.
+        port: TCP port to listen on; 0 selects a free port.
+        pause: While active, requests are accepted but not answered.
 
     Yields:
         The listener.
@@ -244,7 +253,7 @@
 
 
 async def wait_for_disconnect(receive: Receive) -> None:
-    """Returns once the caller of a request has gone."""
+    """Returns once the client of a request has disconnected."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
--- a/src/auburnswitch/standins/lost_response.py
+++ b/src/auburnswitch/standins/lost_response.py
@@ -1,4 +1,4 @@
-"""A response that never reaches its caller."""
+"""A response that never reaches the client."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LostResponse(Response):
-    """Gives no answer: breaks the connection or leaves the caller waiting."""
+    """Aborts the connection or hangs instead of sending a response."""
 
     def __init__(self, *, listener: Listener, hang: bool) -> None:
         super().__init__()
@@ -23,7 +23,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Ends the request without an answer."""
+        """Ends the request without sending a response."""
         if self.hang:
             await wait_for_disconnect(receive)
         else:
--- a/src/auburnswitch/standins/object_store.py
+++ b/src/auburnswitch/standins/object_store.py
@@ -1,4 +1,4 @@
-"""The objects behind the platform's API, without the HTTP."""
+"""In-memory object store behind the platform's HTTP API."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StoredObject:
-    """One object and its version."""
+    """A versioned object."""
 
     __slots__ = ("key", "value", "version")
 
@@ -20,12 +20,12 @@
         self.value = value
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the object as the API shows it."""
+        """Returns the object in the API's JSON form."""
         return {"key": self.key, "version": self.version, "value": self.value}
 
 
 class StoreEvent:
-    """One change of one object; `kind` is put or delete."""
+    """A change of one object; `kind` is `put` or `delete`."""
 
     __slots__ = ("changed", "kind")
 
@@ -34,28 +34,32 @@
         self.changed = changed
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the event as the API shows it."""
+        """Returns the event in the API's JSON form."""
         return {"kind": self.kind, **self.changed.to_json()}
 
 
 class PreconditionFailedError(Exception):
-    """A conditional write met another version, 0 if there is no object."""
+    """A conditional write expected another version than the current one.
+
+    Attributes:
+        version: Current version, 0 if the object does not exist.
+    """
 
     def __init__(self, version: int) -> None:
-        super().__init__(f"version is {version}")
+        super().__init__(f"current version is {version}")
         self.version = version
 
 
 class CompactedError(Exception):
-    """Events after the revision are no longer kept."""
+    """Some events after the requested revision are no longer retained."""
 
 
 class ObjectStore:
-    """Versioned objects with conditional writes and kept events.
+    """Versioned objects with conditional writes and a bounded event history.
 
     Attributes:
-        revision: Number of the last write.
-        objects: Present objects by key.
+        revision: Revision of the last write.
+        objects: Current objects by key.
     """
 
     __slots__ = (
@@ -77,8 +81,8 @@
 
     def version(self, key: str) -> int:
         """Returns an object's version, 0 if it does not exist."""
-        present = self.objects.get(key)
-        return present.version if present is not None else 0
+        current = self.objects.get(key)
+        return current.version if current is not None else 0
 
     def put(
         self, key: str, value: Any, expected_version: int | None = None
@@ -87,14 +91,15 @@
 
         Args:
             key: The object's key.
-            value: Its new value, JSON types.
-            expected_version: Version it must have, 0 for absent, None for any.
+            value: The new value, of JSON types.
+            expected_version: Required current version, 0 for absent, None for
+                any.
 
         Returns:
             The object as written.
 
         Raises:
-            PreconditionFailedError: It has another version.
+            PreconditionFailedError: The object has another version.
         """
         self._check(key, expected_version)
         self.revision += 1
@@ -108,25 +113,25 @@
 
         Args:
             key: The object's key.
-            expected_version: Version it must have, None for any.
+            expected_version: Required current version, None for any.
 
         Returns:
-            Whether there was one.
+            Whether the object existed.
 
         Raises:
-            PreconditionFailedError: It has another version.
+            PreconditionFailedError: The object has another version.
         """
         if key not in self.objects:
             return False
         self._check(key, expected_version)
         self.revision += 1
         del self.objects[key]
-        gone = StoredObject(key=key, version=self.revision, value=None)
-        self._publish(StoreEvent(kind="delete", changed=gone))
+        tombstone = StoredObject(key=key, version=self.revision, value=None)
+        self._publish(StoreEvent(kind="delete", changed=tombstone))
         return True
 
     def list_objects(self, prefix: str) -> list[StoredObject]:
-        """Returns the objects whose keys start with a prefix, by key."""
+        """Returns the objects whose keys start with a prefix, sorted by key."""
         keys = sorted(key for key in self.objects if key.startswith(prefix))
         return [self.objects[key] for key in keys]
 
@@ -134,7 +139,7 @@
         """Returns the changes under a prefix after a revision.
 
         Raises:
-            CompactedError: Some of them may no longer be kept.
+            CompactedError: Some of the changes may no longer be retained.
         """
         if since < self._compacted_through:
             raise CompactedError
@@ -146,7 +151,7 @@
         ]
 
     async def wait_for_change(self, prefix: str) -> None:
-        """Returns once an object under the prefix has changed."""
+        """Returns after a change under the prefix or `notify_all_waiters`."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[waiter] = prefix
         try:
@@ -155,7 +160,7 @@
             del self._waiters[waiter]
 
     def notify_all_waiters(self) -> None:
-        """Wakes every waiter although nothing has changed."""
+        """Wakes all waiters although no object has changed."""
         self._wake("")
 
     def _check(self, key: str, expected_version: int | None) -> None:
@@ -172,8 +177,8 @@
 
     def _wake(self, key: str) -> None:
         for waiter, prefix in self._waiters.items():
-            wanted = not key or key.startswith(prefix)
-            if wanted and not waiter.done():
+            matches = not key or key.startswith(prefix)
+            if matches and not waiter.done():
                 waiter.set_result(None)
 
 
--- a/src/auburnswitch/standins/plain_api.py
+++ b/src/auburnswitch/standins/plain_api.py
@@ -26,7 +26,7 @@
 
 
 class PlainApi:
-    """Runs every request that it receives.
+    """Handles the HTTP requests to the service and executes each of them.
 
     Attributes:
         service: The service.
@@ -39,37 +39,37 @@
 
     def routes(self) -> list[Route]:
         """Returns the routes of the API."""
-        one = "/bookings/{id}"
+        booking_path = "/bookings/{id}"
         return [
             Route("/slots", self.list_slots, methods=["GET"]),
             Route("/bookings", self.create_booking, methods=["POST"]),
-            Route(one, self.get_booking, methods=["GET"]),
-            Route(one, self.update_booking, methods=["PUT"]),
-            Route(one, self.cancel_booking, methods=["DELETE"]),
+            Route(booking_path, self.get_booking, methods=["GET"]),
+            Route(booking_path, self.update_booking, methods=["PUT"]),
+            Route(booking_path, self.cancel_booking, methods=["DELETE"]),
             Route("/load", self.get_load, methods=["GET"]),
         ]
 
     async def list_slots(self, request: Request) -> Response:
-        """Lists the slots."""
-        async with self._run(request):
-            return self._answer({"slots": list(SLOTS)})
+        """Lists the bookable time slots."""
+        async with self._execute(request):
+            return self._response({"slots": list(SLOTS)})
 
     async def create_booking(self, request: Request) -> Response:
-        """Makes a booking, also when it has been made before."""
+        """Creates a booking, even if the request is a repetition."""
         try:
             details = await request.json()
         except ValueError as error:
             return JSONResponse({"error": str(error)}, 400)
-        async with self._run(request):
+        async with self._execute(request):
             self.service.booking_count += 1
             booking_id = f"b{self.service.booking_count}"
             self.service.bookings[booking_id] = details
-            return self._booking_answer(booking_id, 201)
+            return self._booking_response(booking_id, 201)
 
     async def get_booking(self, request: Request) -> Response:
-        """Shows a booking."""
-        async with self._run(request):
-            return self._booking_answer(request.path_params["id"])
+        """Returns a booking."""
+        async with self._execute(request):
+            return self._booking_response(request.path_params["id"])
 
     async def update_booking(self, request: Request) -> Response:
         """Replaces a booking."""
@@ -77,26 +77,26 @@
             details = await request.json()
         except ValueError as error:
             return JSONResponse({"error": str(error)}, 400)
-        async with self._run(request):
+        async with self._execute(request):
             booking_id = request.path_params["id"]
             if booking_id in self.service.bookings:
                 self.service.bookings[booking_id] = details
-            return self._booking_answer(booking_id)
+            return self._booking_response(booking_id)
 
     async def cancel_booking(self, request: Request) -> Response:
         """Cancels a booking."""
-        async with self._run(request):
+        async with self._execute(request):
             booking_id = request.path_params["id"]
-            answer = self._booking_answer(booking_id)
+            response = self._booking_response(booking_id)
             self.service.bookings.pop(booking_id, None)
-            return answer
+            return response
 
     async def get_load(self, request: Request) -> Response:
-        """Reports the load of a short time ago."""
+        """Returns the load as it was `load_lag_s` ago."""
         return JSONResponse(self.service.load.read())
 
     @contextlib.asynccontextmanager
-    async def _run(self, request: Request) -> AsyncIterator[None]:
+    async def _execute(self, request: Request) -> AsyncIterator[None]:
         service = self.service
         headers = request.headers
         service.history.add(
@@ -122,13 +122,13 @@
                 service.running -= 1
                 service.record_load()
 
-    def _booking_answer(self, booking_id: str, status: int = 200) -> Response:
+    def _booking_response(self, booking_id: str, status: int = 200) -> Response:
         if booking_id not in self.service.bookings:
-            return self._answer({"error": "no such booking"}, 404)
+            return self._response({"error": "no such booking"}, 404)
         details = self.service.bookings[booking_id]
-        return self._answer({"id": booking_id, "booking": details}, status)
+        return self._response({"id": booking_id, "booking": details}, status)
 
-    def _answer(self, content: dict[str, Any], status: int = 200) -> Response:
+    def _response(self, content: dict[str, Any], status: int = 200) -> Response:
         service = self.service
         if service.lose_answers > 0:
             service.lose_answers -= 1
@@ -140,7 +140,7 @@
 
 
 def plain_app(service: PlainServiceStandIn) -> Starlette:
-    """Returns a plain service's API as an application."""
+    """Returns a plain service's API as an ASGI application."""
     api = PlainApi(service=service)
     return Starlette(routes=[*control_routes(service), *api.routes()])
 
--- a/src/auburnswitch/standins/plain_service.py
+++ b/src/auburnswitch/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a plain service that keeps bookings."""
+"""A stand-in for a plain HTTP service that stores bookings."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 
 
 class PlainServiceStandIn:
-    """A booking service that runs every request it receives.
+    """A booking service that executes every request it receives.
 
-    It does not recognise a repeated idempotency key, so that a second run
-    shows in the history and in the bookings.
+    The service does not deduplicate by idempotency key, so that a second
+    execution shows in the history and in the bookings.
 
     Attributes:
-        name: Actor in the history.
-        history: Where it records each run.
-        booking_count: Count of bookings ever made.
-        bookings: What callers booked, by id; it outlives a crash.
-        service_time_s: Time that each request takes.
-        fail_next: Requests, from now on, that are answered 500 after they
-            have run.
-        lose_answers: Requests, from now on, that run and whose connection
-            breaks before the answer.
-        restart_s: Time that the service is down after a crash.
-        restart_silent: Whether connections are left without an answer while
-            it is down, instead of being refused.
-        pause: While it lasts, the service does nothing.
-        incarnation: Part of boot ids that tells processes apart.
+        name: Actor name in the history.
+        history: Receives a record of each execution.
+        booking_count: Number of bookings ever created.
+        bookings: Details of bookings by id; they survive a crash.
+        service_time_s: Execution time of each request.
+        fail_next: Number of next requests that are answered 500 after their
+            execution.
+        lose_answers: Number of next requests whose connection is aborted after
+            their execution, before the response.
+        restart_s: Downtime after a crash.
+        restart_silent: Whether connections are accepted without a response
+            during the downtime, instead of being refused.
+        pause: Suspends the service while active.
+        incarnation: Part of boot ids that distinguishes processes.
         boot_id: Changes with every start.
-        running: Requests that run.
-        load: Load reports, read with their lag.
+        running: Number of requests in progress.
+        load: Load reports, which readers get with a lag.
     """
 
     __slots__ = (
-        "_boots",
+        "_boot_count",
         "_leaving",
         "_listener",
         "booking_count",
@@ -98,7 +98,7 @@
         self.pause = Pause()
         self.running = 0
         self._leaving = False
-        self._boots = 0
+        self._boot_count = 0
         self._listener: Listener | None = None
         self.load: LaggedValue[dict[str, Any]] = LaggedValue(lag_s=load_lag_s)
         self._boot()
@@ -116,7 +116,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the service says that it is leaving."""
+        """Whether the service reports that it is leaving."""
         return self._leaving
 
     @leaving.setter
@@ -125,16 +125,19 @@
         self.record_load()
 
     def freeze(self, seconds: float) -> None:
-        """Stops doing anything for a time; connections stay open."""
+        """Suspends the service for some seconds; connections stay open."""
         self.pause.extend(seconds)
 
     def drop_connections(self) -> None:
-        """Breaks every connection; the requests do not run on."""
+        """Aborts all connections and cancels their requests."""
         if self._listener is not None:
             self._listener.abort_connections()
 
     def crash(self) -> None:
-        """Drops connections and what runs, and restarts later."""
+        """Loses connections and running requests, and restarts after a delay.
+
+        The delay is `restart_s`.
+        """
         self.history.add(self.name, HistoryKind.CRASHED, boot_id=self.boot_id)
         if self._listener is not None:
             self._listener.stop_for(self.restart_s, silent=self.restart_silent)
@@ -142,12 +145,12 @@
         self._boot()
 
     def apply_control(self, switches: dict[str, Any]) -> None:
-        """Sets switches by name and runs the actions among them."""
-        others = dict(switches)
-        freeze_s = float(others.pop("freeze_s", 0.0))
-        crash = others.pop("crash", False)
-        drop = others.pop("drop_connections", False)
-        set_switches(self, others, SWITCHES)
+        """Sets switches by name and runs the requested actions."""
+        remaining = dict(switches)
+        freeze_s = float(remaining.pop("freeze_s", 0.0))
+        crash = remaining.pop("crash", False)
+        drop = remaining.pop("drop_connections", False)
+        set_switches(self, remaining, SWITCHES)
         if freeze_s:
             self.freeze(freeze_s)
         if drop:
@@ -156,15 +159,15 @@
             self.crash()
 
     def _boot(self) -> None:
-        self._boots += 1
+        self._boot_count += 1
         self.running = 0
-        self.boot_id = f"{self.name}-{self.incarnation}{self._boots}"
+        self.boot_id = f"{self.name}-{self.incarnation}{self._boot_count}"
         self.load.clear()
         self.record_load()
         self.history.add(self.name, HistoryKind.BOOTED, boot_id=self.boot_id)
 
     def record_load(self) -> None:
-        """Records the load for later reports."""
+        """Records the current load, which reports return after a lag."""
         self.load.record(
             {
                 "boot_id": self.boot_id,
@@ -175,7 +178,7 @@
 
     @contextlib.asynccontextmanager
     async def serve(self, *, host: str, port: int) -> AsyncIterator[None]:
-        """Listens until the context ends."""
+        """Serves the API until the context exits."""
         async with open_listener(
             plain_app(self), host=host, port=port, pause=self.pause
         ) as listener:
@@ -192,13 +195,13 @@
     history: History | None = None,
     **options: Any,
 ) -> AsyncIterator[PlainServiceStandIn]:
-    """Serves a plain service stand-in until the context ends.
+    """Serves a plain service stand-in until the context exits.
 
     Args:
         host: IP address to listen on.
-        port: TCP port to listen on; 0 takes a free one.
-        name: Actor in the history and start of its boot ids.
-        history: Where it records each run.
+        port: TCP port to listen on; 0 selects a free port.
+        name: Actor name in the history and prefix of boot ids.
+        history: Receives a record of each execution.
         **options: Further options of `PlainServiceStandIn`.
 
     Yields:
--- a/src/auburnswitch/standins/platform.py
+++ b/src/auburnswitch/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform: object API and instance list."""
+"""A stand-in for the platform: object API and instance list."""
 
 from __future__ import annotations
 
@@ -31,28 +31,29 @@
 
 
 class PlatformStandIn:
-    """Object API with rate limits and switches for its faults.
+    """Object API with rate limits and injectable faults.
 
     Attributes:
-        name: Actor in the history.
-        history: Where accepted writes are recorded.
-        store: The objects.
+        name: Actor name in the history.
+        history: Receives a record of each accepted write and lost response.
+        store: Stores the objects.
         instances: The instance list.
-        max_value_bytes: Largest value.
-        calls: Counts of calls by kind.
-        statuses: Counts of answers by status.
+        max_value_bytes: Maximum size of a value.
+        calls: Number of calls by kind.
+        statuses: Number of responses by status.
         write_limiter: Rate limit of writes.
         read_limiter: Rate limit of reads.
-        delay_s: Time that each call takes.
-        lose_answers: Writes, from now on, whose answers are lost.
-        hang_lost: A lost answer never comes, instead of a broken connection.
-        watch_broken: Watches see no events.
+        delay_s: Delay of each call.
+        lose_answers: Number of next accepted writes whose responses are lost.
+        hang_lost: Whether a lost response hangs instead of aborting the
+            connection.
+        watch_broken: Whether watches return no events.
     """
 
     __slots__ = (
         "_listener",
         "_outage",
-        "_unsilenced",
+        "_responding",
         "calls",
         "delay_s",
         "hang_lost",
@@ -97,8 +98,8 @@
         self.hang_lost = False
         self.watch_broken = False
         self._outage = False
-        self._unsilenced = asyncio.Event()
-        self._unsilenced.set()
+        self._responding = asyncio.Event()
+        self._responding.set()
         self._listener: Listener | None = None
 
     @property
@@ -114,7 +115,7 @@
 
     @property
     def outage(self) -> bool:
-        """Whether every call is answered 503, waiting watches too."""
+        """Whether all calls are answered 503, including pending watches."""
         return self._outage
 
     @outage.setter
@@ -124,26 +125,26 @@
 
     @property
     def silent(self) -> bool:
-        """Whether no call is answered until this is off again."""
-        return not self._unsilenced.is_set()
+        """Whether calls get no response until this is switched off."""
+        return not self._responding.is_set()
 
     @silent.setter
     def silent(self, value: bool) -> None:
         if value:
-            self._unsilenced.clear()
+            self._responding.clear()
         else:
-            self._unsilenced.set()
+            self._responding.set()
 
     async def wait_until_not_silent(self) -> None:
-        """Returns once calls are answered."""
-        await self._unsilenced.wait()
+        """Returns once calls get responses."""
+        await self._responding.wait()
 
     def apply_control(self, switches: dict[str, Any]) -> None:
-        """Sets switches by name and changes the instance list."""
-        others = dict(switches)
-        added = others.pop("instances", [])
-        removed = others.pop("removed_instances", [])
-        set_switches(self, others, SWITCHES)
+        """Sets switches by name and updates the instance list."""
+        remaining = dict(switches)
+        added = remaining.pop("instances", [])
+        removed = remaining.pop("removed_instances", [])
+        set_switches(self, remaining, SWITCHES)
         for entry in added:
             state = InstanceState(entry.get("state", "live"))
             self.instances.set(entry["name"], entry["zone"], state)
@@ -152,7 +153,7 @@
 
     @contextlib.asynccontextmanager
     async def serve(self, *, host: str, port: int) -> AsyncIterator[None]:
-        """Listens until the context ends."""
+        """Serves the API until the context exits."""
         app = platform_app(self)
         async with open_listener(app, host=host, port=port) as listener:
             self._listener = listener
@@ -167,12 +168,12 @@
     history: History | None = None,
     **options: Any,
 ) -> AsyncIterator[PlatformStandIn]:
-    """Serves a platform stand-in until the context ends.
+    """Serves a platform stand-in until the context exits.
 
     Args:
         host: IP address to listen on.
-        port: TCP port to listen on; 0 takes a free one.
-        history: Where it records what it does.
+        port: TCP port to listen on; 0 selects a free port.
+        history: Receives a record of each accepted write and lost response.
         **options: Further options of `PlatformStandIn`.
 
     Yields:
--- a/src/auburnswitch/standins/platform_api.py
+++ b/src/auburnswitch/standins/platform_api.py
@@ -30,7 +30,7 @@
 
 
 class PlatformApi:
-    """Translates between HTTP and the platform.
+    """Handles the HTTP requests to the platform.
 
     Attributes:
         platform: The platform.
@@ -53,80 +53,80 @@
         ]
 
     async def get(self, request: Request) -> Response:
-        """Answers with one object."""
+        """Returns one object."""
         platform = self.platform
-        refusal = await self._refusal("get", platform.read_limiter)
-        if refusal is not None:
-            return refusal
+        rejection = await self._rejection("get", platform.read_limiter)
+        if rejection is not None:
+            return rejection
         found = platform.store.objects.get(request.path_params["key"])
         if found is None:
-            return self._answer({"error": "no such object"}, 404)
-        return self._answer(found.to_json())
+            return self._response({"error": "no such object"}, 404)
+        return self._response(found.to_json())
 
     async def list_objects(self, request: Request) -> Response:
         """Lists the objects under a prefix."""
         platform = self.platform
-        refusal = await self._refusal("list", platform.read_limiter)
-        if refusal is not None:
-            return refusal
+        rejection = await self._rejection("list", platform.read_limiter)
+        if rejection is not None:
+            return rejection
         prefix = request.query_params.get("prefix", "")
         found = platform.store.list_objects(prefix)
         items = [item.to_json() for item in found]
         revision = platform.store.revision
-        return self._answer({"items": items, "revision": revision})
+        return self._response({"items": items, "revision": revision})
 
     async def put(self, request: Request) -> Response:
         """Writes an object."""
         platform = self.platform
         body = await request.body()
-        refusal = await self._refusal("put", platform.write_limiter)
-        if refusal is not None:
-            return refusal
+        rejection = await self._rejection("put", platform.write_limiter)
+        if rejection is not None:
+            return rejection
         if len(body) > platform.max_value_bytes:
-            return self._answer({"error": "the value is too large"}, 413)
+            return self._response({"error": "the value is too large"}, 413)
         key = request.path_params["key"]
         try:
             value = json.loads(body)
-            written = platform.store.put(key, value, _expected(request))
+            written = platform.store.put(key, value, _expected_version(request))
         except ValueError as error:
-            return self._answer({"error": str(error)}, 400)
+            return self._response({"error": str(error)}, 400)
         except PreconditionFailedError as error:
-            return self._answer({"version": error.version}, 412)
-        return self._write_answer("put", key, written.version)
+            return self._response({"version": error.version}, 412)
+        return self._write_response("put", key, written.version)
 
     async def delete(self, request: Request) -> Response:
         """Deletes an object."""
         platform = self.platform
-        refusal = await self._refusal("delete", platform.write_limiter)
-        if refusal is not None:
-            return refusal
+        rejection = await self._rejection("delete", platform.write_limiter)
+        if rejection is not None:
+            return rejection
         key = request.path_params["key"]
         try:
-            existed = platform.store.delete(key, _expected(request))
+            existed = platform.store.delete(key, _expected_version(request))
         except ValueError as error:
-            return self._answer({"error": str(error)}, 400)
+            return self._response({"error": str(error)}, 400)
         except PreconditionFailedError as error:
-            return self._answer({"version": error.version}, 412)
+            return self._response({"version": error.version}, 412)
         if not existed:
-            return self._answer({"error": "no such object"}, 404)
-        return self._write_answer("delete", key, platform.store.revision)
+            return self._response({"error": "no such object"}, 404)
+        return self._write_response("delete", key, platform.store.revision)
 
     async def watch(self, request: Request) -> Response:
-        """Waits for changes under a prefix after a revision."""
-        refusal = await self._refusal("watch", self.platform.read_limiter)
-        if refusal is not None:
-            return refusal
+        """Waits for and returns the changes under a prefix after a revision."""
+        rejection = await self._rejection("watch", self.platform.read_limiter)
+        if rejection is not None:
+            return rejection
         query = request.query_params
         try:
             since = int(query.get("since", "0"))
             timeout_s = float(query.get("timeout", DEFAULT_WATCH_TIMEOUT_S))
         except ValueError as error:
-            return self._answer({"error": str(error)}, 400)
+            return self._response({"error": str(error)}, 400)
         prefix = query.get("prefix", "")
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(min(timeout_s, MAX_WATCH_TIMEOUT_S)):
                 await self._wait_for_events(prefix, since)
-        return await self._watch_answer(prefix, since)
+        return await self._watch_response(prefix, since)
 
     async def _wait_for_events(self, prefix: str, since: int) -> None:
         platform = self.platform
@@ -139,43 +139,47 @@
                 return
             await platform.store.wait_for_change(prefix)
 
-    async def _watch_answer(self, prefix: str, since: int) -> Response:
+    async def _watch_response(self, prefix: str, since: int) -> Response:
         platform = self.platform
         await platform.wait_until_not_silent()
         if platform.outage:
-            return self._answer({"error": "outage"}, 503)
+            return self._response({"error": "outage"}, 503)
         if platform.watch_broken:
-            return self._answer({"events": [], "revision": since})
+            return self._response({"events": [], "revision": since})
         try:
             found = platform.store.events_after(prefix, since)
         except CompactedError:
-            return self._answer({"error": "compacted"}, 410)
+            return self._response({"error": "compacted"}, 410)
         events = [event.to_json() for event in found]
         revision = platform.store.revision
-        return self._answer({"events": events, "revision": revision})
+        return self._response({"events": events, "revision": revision})
 
     async def list_instances(self, request: Request) -> Response:
-        """Lists the instances of a short time ago."""
-        refusal = await self._refusal("instances", self.platform.read_limiter)
-        if refusal is not None:
-            return refusal
+        """Lists the instances as they were `lag_s` ago."""
+        rejection = await self._rejection(
+            "instances", self.platform.read_limiter
+        )
+        if rejection is not None:
+            return rejection
         entries = [e.to_json() for e in self.platform.instances.read()]
-        return self._answer({"instances": entries})
+        return self._response({"instances": entries})
 
-    async def _refusal(self, kind: str, bucket: TokenBucket) -> Response | None:
+    async def _rejection(
+        self, kind: str, limiter: TokenBucket
+    ) -> Response | None:
         platform = self.platform
         platform.calls[kind] += 1
         if platform.delay_s:
             await asyncio.sleep(platform.delay_s)
         await platform.wait_until_not_silent()
         if platform.outage:
-            return self._answer({"error": "outage"}, 503)
-        wait_s = bucket.take()
+            return self._response({"error": "outage"}, 503)
+        wait_s = limiter.take()
         if wait_s:
-            return self._answer({}, 429, retry_after_header(wait_s))
+            return self._response({}, 429, retry_after_header(wait_s))
         return None
 
-    def _answer(
+    def _response(
         self,
         content: dict[str, Any],
         status: int = 200,
@@ -184,7 +188,9 @@
         self.platform.statuses[status] += 1
         return JSONResponse(content, status, headers)
 
-    def _write_answer(self, operation: str, key: str, version: int) -> Response:
+    def _write_response(
+        self, operation: str, key: str, version: int
+    ) -> Response:
         platform = self.platform
         history, name = platform.history, platform.name
         history.add(
@@ -200,10 +206,10 @@
             return LostResponse(
                 listener=platform.listener, hang=platform.hang_lost
             )
-        return self._answer({"key": key, "version": version})
+        return self._response({"key": key, "version": version})
 
 
-def _expected(request: Request) -> int | None:
+def _expected_version(request: Request) -> int | None:
     if request.headers.get("if-none-match") == "*":
         return 0
     version = request.headers.get("if-match")
@@ -211,7 +217,7 @@
 
 
 def platform_app(platform: PlatformStandIn) -> Starlette:
-    """Returns the platform's API as an application."""
+    """Returns the platform's API as an ASGI application."""
     api = PlatformApi(platform=platform)
     return Starlette(routes=[*control_routes(platform), *api.routes()])
 
--- a/src/auburnswitch/standins/ports.py
+++ b/src/auburnswitch/standins/ports.py
@@ -1,4 +1,4 @@
-"""Finds ports for processes on loopback."""
+"""Finds free ports on the loopback interface."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def free_port() -> int:
-    """Returns a port that is free at the moment for TCP and for UDP."""
+    """Returns a port that is currently free for both TCP and UDP."""
     while True:
         with (
             socket.socket(socket.AF_INET, socket.SOCK_STREAM) as stream,
@@ -17,7 +17,7 @@
             try:
                 datagram.bind(("127.0.0.1", port))
             except OSError:
-                continue  # in use for datagrams
+                continue  # in use for UDP
             return port
 
 
--- a/src/auburnswitch/standins/token_bucket.py
+++ b/src/auburnswitch/standins/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket on the event loop's clock."""
+"""A token bucket rate limiter that uses the event loop's clock."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 
 
 class TokenBucket:
-    """Allows a sustained rate of calls and a burst.
+    """Limits calls to a sustained rate and a burst size.
 
     Attributes:
         rate: Calls per second.
-        burst: Calls that may come at once.
-        tokens: Calls allowed now.
+        burst: Maximum number of calls at once.
+        tokens: Tokens available at `updated_s`.
+        updated_s: Event loop time of the last refill.
     """
 
     __slots__ = ("burst", "rate", "tokens", "updated_s")
@@ -24,10 +25,10 @@
         self.updated_s = -math.inf
 
     def take(self) -> float:
-        """Takes one token.
+        """Takes one token if available.
 
         Returns:
-            0 if a token was taken, else the seconds until there is one.
+            0 if a token was taken, else the seconds until one is available.
         """
         now_s = asyncio.get_running_loop().time()
         refill = (now_s - self.updated_s) * self.rate
@@ -40,7 +41,7 @@
 
 
 def retry_after_header(wait_s: float) -> dict[str, str]:
-    """Returns the `Retry-After` header for a wait."""
+    """Returns the `Retry-After` header for a wait, rounded up to seconds."""
     return {"Retry-After": str(max(1, math.ceil(wait_s)))}
 
 
--- a/src/auburnswitch/standins/weight_store.py
+++ b/src/auburnswitch/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the rate-limited weight store."""
+"""A stand-in for the rate-limited model weight store."""
 
 from __future__ import annotations
 
@@ -26,15 +26,16 @@
 
 
 class WeightStoreStandIn:
-    """Says when a model's weights may be loaded.
+    """Grants loads of model weights up to a rate limit.
 
     Attributes:
-        name: Actor in the history.
-        history: Where it records the loads that it grants.
+        name: Actor name in the history.
+        history: Receives a record of each granted load.
         load_limiter: Rate limit of loads.
-        sizes_bytes: Sizes of weights by name; others have a default size.
-        rejected_loads: Count of loads that were refused by the rate limit.
-        outage: Every call is answered 503.
+        sizes_bytes: Sizes of weights by model name; other models have the
+            default size.
+        rejected_loads: Number of loads rejected by the rate limit.
+        outage: Whether all calls are answered 503.
     """
 
     __slots__ = (
@@ -76,7 +77,7 @@
         set_switches(self, switches, SWITCHES)
 
     def app(self) -> Starlette:
-        """Returns the API as an application."""
+        """Returns the API as an ASGI application."""
         path = "/weights/{name}/{version}"
         route = Route(path, self._start_load, methods=["GET"])
         return Starlette(routes=[*control_routes(self), route])
@@ -93,12 +94,14 @@
         self.history.add(
             self.name, HistoryKind.LOAD_GRANTED, model=name, version=version
         )
-        size = self.sizes_bytes.get(name, DEFAULT_WEIGHT_BYTES)
-        return JSONResponse({"name": name, "version": version, "bytes": size})
+        size_bytes = self.sizes_bytes.get(name, DEFAULT_WEIGHT_BYTES)
+        return JSONResponse(
+            {"name": name, "version": version, "bytes": size_bytes}
+        )
 
     @contextlib.asynccontextmanager
     async def serve(self, *, host: str, port: int) -> AsyncIterator[None]:
-        """Listens until the context ends."""
+        """Serves the API until the context exits."""
         async with open_listener(self.app(), host=host, port=port) as listener:
             self._listener = listener
             yield
@@ -112,12 +115,12 @@
     history: History | None = None,
     **options: Any,
 ) -> AsyncIterator[WeightStoreStandIn]:
-    """Serves a weight store stand-in until the context ends.
+    """Serves a weight store stand-in until the context exits.
 
     Args:
         host: IP address to listen on.
-        port: TCP port to listen on; 0 takes a free one.
-        history: Where it records the loads that it grants.
+        port: TCP port to listen on; 0 selects a free port.
+        history: Receives a record of each granted load.
         **options: Further options of `WeightStoreStandIn`.
 
     Yields:
--- a/tests/standins/engine_client.py
+++ b/tests/standins/engine_client.py
@@ -1,4 +1,4 @@
-"""A small client of an engine, for tests."""
+"""An HTTP client of an engine stand-in, for tests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         request_id: str = "r1",
         attempt: int = 1,
     ) -> tuple[int, Any]:
-        """Makes one call; returns status and decoded answer."""
+        """Sends one request; returns the status and the decoded response."""
         headers = {
             "X-Request-Id": request_id,
             "X-Attempt": str(attempt),
@@ -44,34 +44,34 @@
         ) as response:
             text = await response.text()
             if response.content_type == "text/event-stream":
-                return response.status, read_frames(text)
+                return response.status, read_events(text)
             return response.status, json.loads(text)
 
     async def complete(
-        self, prompt: str, max_tokens: int = 4, request_id: str = "r1", **more
+        self, prompt: str, max_tokens: int = 4, request_id: str = "r1", **fields
     ) -> tuple[int, Any]:
-        """Asks for a completion."""
-        body = {"prompt": prompt, "max_tokens": max_tokens, **more}
+        """Requests a completion; `fields` are added to the body."""
+        body = {"prompt": prompt, "max_tokens": max_tokens, **fields}
         return await self.call(
             "POST", "/v1/completions", body, request_id=request_id
         )
 
 
-def read_frames(text: str) -> list[Any]:
-    """Decodes an SSE stream that must be whole."""
+def read_events(text: str) -> list[Any]:
+    """Decodes the events of an SSE stream, which must be complete."""
     lines = [line for line in text.split("\n") if line]
     assert lines[-1] == "data: [DONE]", lines[-1]
     return [json.loads(line.removeprefix("data: ")) for line in lines[:-1]]
 
 
-def frames_text(frames: list[Any]) -> str:
-    """Returns the answer that frames carry."""
-    return "".join(frame["choices"][0]["text"] for frame in frames)
+def joined_text(events: list[Any]) -> str:
+    """Returns the concatenated text of completion events."""
+    return "".join(event["choices"][0]["text"] for event in events)
 
 
 @contextlib.asynccontextmanager
 async def open_client(**options: Any) -> AsyncIterator[EngineClient]:
-    """Opens an engine, warm unless asked otherwise, and a client of it."""
+    """Opens an engine, warm by default, and yields a client of the engine."""
     options.setdefault("starts_warm", True)
     async with (
         open_session() as session,
--- a/tests/standins/test_endpoint.py
+++ b/tests/standins/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The stand-in of an endpoint of the platform."""
+"""Tests of the stand-in for an endpoint of the platform."""
 
 from __future__ import annotations
 
@@ -9,42 +9,52 @@
 from tests.virtual_time import run_virtual
 
 
-async def order(runner: EndpointStandIn, **values) -> int:
-    sent = []
+async def send_order(endpoint: EndpointStandIn, **values) -> int:
+    messages = []
 
     async def send(message):
-        sent.append(message)
+        messages.append(message)
 
-    await runner._order(values, send)
-    return sent[0]["status"]
+    await endpoint._apply_order(values, send)
+    return messages[0]["status"]
 
 
 class ReservationTest(unittest.TestCase):
-    def test_reservation_ends_by_itself_unless_it_is_renewed(self):
+    def test_reservation_expires_unless_renewed(self):
         async def run():
-            runner = EndpointStandIn(endpoint_id="engine")
+            endpoint = EndpointStandIn(endpoint_id="engine")
             reserve = {"Op": "reserve", "Id": "k", "Tokens": 60_000}
-            self.assertEqual(await order(runner, **reserve, HoldMs=3400), 200)
+            self.assertEqual(
+                await send_order(endpoint, **reserve, HoldMs=3400), 200
+            )
             await asyncio.sleep(2)
-            self.assertEqual(await order(runner, **reserve, HoldMs=3400), 200)
+            self.assertEqual(
+                await send_order(endpoint, **reserve, HoldMs=3400), 200
+            )
             await asyncio.sleep(2)
-            runner.expire_reservations()
-            self.assertIn("k", runner.reservations)
+            endpoint.expire_reservations()
+            self.assertIn("k", endpoint.reservations)
             await asyncio.sleep(2)
-            runner.expire_reservations()
-            self.assertEqual(runner.reservations, {})
+            endpoint.expire_reservations()
+            self.assertEqual(endpoint.reservations, {})
 
         run_virtual(run)
 
-    def test_memory_is_bounded(self):
+    def test_reservations_are_limited_by_capacity(self):
         async def run():
-            runner = EndpointStandIn(endpoint_id="engine")
+            endpoint = EndpointStandIn(endpoint_id="engine")
             first = {"Op": "reserve", "Id": "a", "Tokens": 60_000}
             second = {"Op": "reserve", "Id": "b", "Tokens": 60_000}
-            self.assertEqual(await order(runner, **first, HoldMs=900), 200)
-            self.assertEqual(await order(runner, **second, HoldMs=900), 409)
-            await order(runner, Op="release", Id="a")
-            self.assertEqual(await order(runner, **second, HoldMs=900), 200)
+            self.assertEqual(
+                await send_order(endpoint, **first, HoldMs=900), 200
+            )
+            self.assertEqual(
+                await send_order(endpoint, **second, HoldMs=900), 409
+            )
+            await send_order(endpoint, Op="release", Id="a")
+            self.assertEqual(
+                await send_order(endpoint, **second, HoldMs=900), 200
+            )
 
         run_virtual(run)
 
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the engine stand-in's service."""
+"""Tests of the engine stand-in in normal operation."""
 
 from __future__ import annotations
 
@@ -10,53 +10,57 @@
 from auburnswitch.standins.engine_options import EngineOptions
 from tests.standins.engine_client import (
     EngineClient,
-    frames_text,
+    joined_text,
     open_client,
 )
 from tests.virtual_time import run_virtual
 
 
 class StreamTest(unittest.TestCase):
-    def test_stream_has_the_whole_answer(self):
+    def test_stream_contains_complete_answer(self):
         async def run():
             async with open_client() as client:
                 return await client.complete("hello", 5, stream=True)
 
-        status, frames = run_virtual(run)
+        status, events = run_virtual(run)
         self.assertEqual(status, 200)
         expected = answer_text(prompt_digest("hello"), 5)
-        self.assertEqual(frames_text(frames), expected)
-        self.assertEqual([f["sequence"] for f in frames], list(range(5)))
-        self.assertEqual({(f["id"], f["attempt"]) for f in frames}, {("r1", 1)})
-        reasons = [f["choices"][0]["finish_reason"] for f in frames]
+        self.assertEqual(joined_text(events), expected)
+        self.assertEqual(
+            [event["sequence"] for event in events], list(range(5))
+        )
+        self.assertEqual(
+            {(event["id"], event["attempt"]) for event in events}, {("r1", 1)}
+        )
+        reasons = [event["choices"][0]["finish_reason"] for event in events]
         self.assertEqual(reasons, [None] * 4 + ["length"])
         self.assertEqual(
-            frames[-1]["usage"],
+            events[-1]["usage"],
             {"prompt_tokens": 2, "completion_tokens": 5, "cached_tokens": 0},
         )
 
-    def test_object_and_chat(self):
+    def test_completion_and_chat_responses(self):
         async def run():
             async with open_client() as client:
-                whole = await client.complete("hello", 5)
+                completion = await client.complete("hello", 5)
                 body = {"messages": [{"role": "user", "content": "x"}]}
                 path = "/v1/chat/completions"
                 body["max_tokens"] = 2
                 chat = await client.call("POST", path, body, "r2")
                 body["stream"] = True
-                frames = await client.call("POST", path, body, "r3")
-                return whole[1], chat[1], frames[1]
+                events = await client.call("POST", path, body, "r3")
+                return completion[1], chat[1], events[1]
 
-        whole, chat, frames = run_virtual(run)
-        text = whole["choices"][0]["text"]
+        completion, chat, events = run_virtual(run)
+        text = completion["choices"][0]["text"]
         self.assertEqual(text, answer_text(prompt_digest("hello"), 5))
         expected = answer_text(prompt_digest("user: x\n"), 2)
         message = chat["choices"][0]["message"]
         self.assertEqual(message["content"], expected)
-        parts = [f["choices"][0]["delta"]["content"] for f in frames]
-        self.assertEqual("".join(parts), expected)
+        deltas = [event["choices"][0]["delta"]["content"] for event in events]
+        self.assertEqual("".join(deltas), expected)
 
-    def test_continued_text_goes_on(self):
+    def test_continue_text_resumes_generation(self):
         async def run():
             async with open_client() as client:
                 first = answer_text(prompt_digest("hello"), 3)
@@ -64,13 +68,13 @@
                     "hello", 4, stream=True, continue_text=first
                 )
 
-        _, frames = run_virtual(run)
+        _, events = run_virtual(run)
         expected = answer_text(prompt_digest("hello"), 4, first=3)
-        self.assertEqual(frames_text(frames), expected)
-        self.assertEqual(frames[0]["sequence"], 0)
-        self.assertEqual(frames[-1]["usage"]["prompt_tokens"], 5)
+        self.assertEqual(joined_text(events), expected)
+        self.assertEqual(events[0]["sequence"], 0)
+        self.assertEqual(events[-1]["usage"]["prompt_tokens"], 5)
 
-    def test_broken_stream_runs_on_and_is_resumed(self):
+    def test_disconnected_stream_continues_and_can_be_resumed(self):
         async def run():
             async with open_client() as client:
                 task = asyncio.create_task(
@@ -80,21 +84,21 @@
                 task.cancel()
                 await asyncio.sleep(0.5)
                 self.assertEqual(client.engine.batch.memory_used_tokens, 102)
-                _, frames = await client.call("GET", "/v1/streams/r1/1?from=7")
-                _, again = await client.call("GET", "/v1/streams/r1/1")
+                _, events = await client.call("GET", "/v1/streams/r1/1?from=7")
+                _, full_events = await client.call("GET", "/v1/streams/r1/1")
                 await asyncio.sleep(11)
                 status, _ = await client.call("GET", "/v1/streams/r1/1")
                 return (
-                    frames,
-                    again,
+                    events,
+                    full_events,
                     status,
                     client.engine.batch.memory_used_tokens,
                 )
 
-        frames, again, status, memory_used = run_virtual(run)
-        self.assertEqual(frames[0]["sequence"], 7)
-        self.assertEqual(again[7:], frames)
-        self.assertEqual(len(again), 100)
+        events, full_events, status, memory_used = run_virtual(run)
+        self.assertEqual(events[0]["sequence"], 7)
+        self.assertEqual(full_events[7:], events)
+        self.assertEqual(len(full_events), 100)
         self.assertEqual(status, 404)
         self.assertEqual(memory_used, 0)
 
@@ -107,19 +111,19 @@
                 await asyncio.sleep(1)
                 listed = await client.call("GET", "/v1/streams")
                 await client.call("DELETE", "/v1/streams/r1/1")
-                used = client.engine.batch.memory_used_tokens
-                return listed[1]["streams"], used, (await task)[1]
+                memory_used = client.engine.batch.memory_used_tokens
+                return listed[1]["streams"], memory_used, (await task)[1]
 
-        listed, used, frames = run_virtual(run)
+        listed, memory_used, events = run_virtual(run)
         expected = {"request_id": "r1", "attempt": 1, "member_id": "m1"}
         self.assertEqual(
             listed, [expected | {"tokens": 102, "finished": False}]
         )
-        self.assertEqual(used, 0)
-        reason = frames[-1]["choices"][0]["finish_reason"]
+        self.assertEqual(memory_used, 0)
+        reason = events[-1]["choices"][0]["finish_reason"]
         self.assertEqual(reason, "cancelled")
 
-    def test_bad_requests(self):
+    def test_invalid_requests_are_rejected(self):
         async def run():
             async with open_client(memory_tokens=10, model="m") as client:
                 return [
@@ -139,7 +143,7 @@
     ) -> list[float]:
         loop = asyncio.get_running_loop()
 
-        async def one(name: str, tokens: int, priority: int) -> float:
+        async def time_request(name: str, tokens: int, priority: int) -> float:
             prompt = (name * tokens * 4)[: tokens * 4]
             await client.complete(prompt, 1, name, priority=priority)
             return loop.time()
@@ -147,11 +151,11 @@
         started_s = loop.time()
         tasks = []
         for request in requests:
-            tasks.append(asyncio.create_task(one(*request)))
+            tasks.append(asyncio.create_task(time_request(*request)))
             await asyncio.sleep(0.01)
         return [await task - started_s for task in tasks]
 
-    def test_priority_takes_the_next_chunk(self):
+    def test_higher_priority_gets_next_prefill_chunk(self):
         async def run():
             async with open_client() as client:
                 requests = [("a", 40_000, 5), ("b", 2_000, 0)]
@@ -161,7 +165,7 @@
         self.assertLess(short_s, 0.3)
         self.assertAlmostEqual(long_s, 2.1, delta=0.1)
 
-    def test_a_full_memory_makes_requests_wait(self):
+    def test_requests_queue_when_memory_is_full(self):
         async def run():
             async with open_client(memory_tokens=30_000) as client:
                 requests = [("a", 20_000, 0), ("b", 20_000, 0), ("c", 100, 0)]
@@ -213,36 +217,46 @@
 
 
 class KvChainTest(unittest.TestCase):
-    def test_prompt_in_segments_has_the_answer_to_the_whole(self):
+    def test_segmented_prompt_gives_answer_to_full_prompt(self):
         async def run():
             options = EngineOptions(starts_warm=True, memory_tokens=1_000)
             async with (
                 open_client(memory_tokens=1_000) as client,
-                open_engine(options=options, name="other") as other,
+                open_engine(options=options, name="other") as helper_engine,
             ):
-                helper = EngineClient(engine=other, session=client.session)
+                helper_client = EngineClient(
+                    engine=helper_engine, session=client.session
+                )
                 body = {"prompt": "a" * 3_600, "request_id": "r1"}
-                kv = await helper.call("POST", "/v1/prefill", body)
-                _, listed = await helper.call("GET", "/v1/kv")
-                link = {"url": other.url, "kv_id": kv[1]["kv_id"]}
+                kv = await helper_client.call("POST", "/v1/prefill", body)
+                _, listed = await helper_client.call("GET", "/v1/kv")
+                link = {"url": helper_engine.url, "kv_id": kv[1]["kv_id"]}
                 answer = await client.complete("b" * 3_600, 5, kv_chain=[link])
-                await helper.call("DELETE", "/v1/kv/" + link["kv_id"])
-                used = other.batch.memory_used_tokens
-                gone = await client.complete("b", 5, "r2", kv_chain=[link])
-                return kv[1], listed["caches"], answer[1], used, gone[0]
+                await helper_client.call("DELETE", "/v1/kv/" + link["kv_id"])
+                memory_used = helper_engine.batch.memory_used_tokens
+                after_free = await client.complete(
+                    "b", 5, "r2", kv_chain=[link]
+                )
+                return (
+                    kv[1],
+                    listed["caches"],
+                    answer[1],
+                    memory_used,
+                    after_free[0],
+                )
 
-        kv, listed, answer, used, gone = run_virtual(run)
+        kv, listed, answer, memory_used, after_free = run_virtual(run)
         self.assertEqual(kv["tokens"], 900)
         self.assertEqual(listed[0]["kv_id"], kv["kv_id"])
         self.assertEqual(listed[0]["member_id"], "m1")
         digest = prompt_digest("a" * 3_600 + "b" * 3_600)
         text = answer["choices"][0]["text"]
         self.assertEqual(text, answer_text(digest, 5))
-        self.assertEqual((used, gone), (0, 409))
+        self.assertEqual((memory_used, after_free), (0, 409))
 
 
 class OrderTest(unittest.TestCase):
-    def order(self, number: int, name: str = "m2") -> dict:
+    def make_order(self, number: int, name: str = "m2") -> dict:
         return {
             "kind": "load_model",
             "name": name,
@@ -250,20 +264,22 @@
             "fencing_number": number,
         }
 
-    def test_fencing(self):
+    def test_stale_fencing_number_is_rejected_when_checked(self):
         async def run(checks: bool):
             async with open_client(checks_fencing=checks) as client:
                 path = "/v1/orders"
-                await client.call("POST", path, self.order(5))
-                old = await client.call("POST", path, self.order(4, "m3"))
+                await client.call("POST", path, self.make_order(5))
+                stale = await client.call(
+                    "POST", path, self.make_order(4, "m3")
+                )
                 await asyncio.sleep(3)
-                return old, await client.call("GET", path)
+                return stale, await client.call("GET", path)
 
-        old, orders = run_virtual(lambda: run(True))
-        self.assertEqual(old, (409, {"fencing_number": 5}))
+        stale, orders = run_virtual(lambda: run(True))
+        self.assertEqual(stale, (409, {"fencing_number": 5}))
         self.assertEqual(orders[1]["model"], "m2")
-        old, orders = run_virtual(lambda: run(False))
-        self.assertEqual(old, (200, {}))
+        stale, orders = run_virtual(lambda: run(False))
+        self.assertEqual(stale, (200, {}))
         self.assertEqual(orders[1]["model"], "m3")
 
 
--- a/tests/standins/test_engine_faults.py
+++ b/tests/standins/test_engine_faults.py
@@ -47,29 +47,29 @@
         self.assertEqual(status, 200)
         self.assertEqual(len(crash.fields["in_flight"]), 3)
 
-    def test_successes_warm_it_and_it_turns_cold_unannounced(self):
+    def test_successes_end_cold_state_and_turn_cold_restores_it(self):
         async def run():
             async with open_client(
                 starts_warm=False, warm_after=2, cold_max_running=1
             ) as client:
                 await client.complete("x", 2, "r1")
                 await client.complete("x", 2, "r2")
-                both = await asyncio.gather(
+                warm_results = await asyncio.gather(
                     client.complete("x", 2, "r3"), client.complete("x", 2, "r4")
                 )
                 client.engine.turn_cold()
-                crowd = await asyncio.gather(
+                overload_results = await asyncio.gather(
                     client.complete("x", 2, "r5"),
                     client.complete("x", 2, "r6"),
                     return_exceptions=True,
                 )
-                return [status for status, _ in both], crowd
+                return [status for status, _ in warm_results], overload_results
 
-        both, crowd = run_virtual(run)
-        self.assertEqual(both, [200, 200])
-        self.assertTrue(all(isinstance(c, Exception) for c in crowd))
+        warm_results, overload_results = run_virtual(run)
+        self.assertEqual(warm_results, [200, 200])
+        self.assertTrue(all(isinstance(c, Exception) for c in overload_results))
 
-    def test_prompt_tokens_count(self):
+    def test_prompt_tokens_count_towards_cold_limit(self):
         async def run():
             async with open_client(
                 starts_warm=False, cold_max_tokens=100
@@ -82,7 +82,7 @@
 
 
 class CrashTest(unittest.TestCase):
-    def test_marker_crashes_when_its_prefill_ends(self):
+    def test_crash_marker_crashes_engine_at_end_of_prefill(self):
         async def run():
             async with open_client() as client:
                 loop = asyncio.get_running_loop()
@@ -94,7 +94,7 @@
 
         self.assertAlmostEqual(run_virtual(run), 0.5, delta=0.01)
 
-    def test_crash_loses_everything(self):
+    def test_crash_clears_streams_and_caches(self):
         async def run():
             async with open_client(restart_s=1) as client:
                 await client.complete("x" * 4_000, 2)
@@ -108,7 +108,7 @@
 
         self.assertEqual(run_virtual(run), ({"caches": []}, {"streams": []}, 0))
 
-    def test_silent_restart_leaves_callers_without_answer(self):
+    def test_silent_restart_leaves_requests_unanswered(self):
         async def run():
             async with open_client(restart_s=5, restart_silent=True) as client:
                 client.engine.crash()
@@ -120,7 +120,7 @@
 
         self.assertEqual(run_virtual(run)[0], 200)
 
-    def test_freeze_delays_and_loses_nothing(self):
+    def test_freeze_delays_stream_without_losing_events(self):
         async def run():
             async with open_client() as client:
                 loop = asyncio.get_running_loop()
@@ -130,8 +130,8 @@
                 )
                 await asyncio.sleep(0.5)
                 client.engine.freeze(10)
-                _, frames = await task
-                return len(frames), loop.time() - started_s
+                _, events = await task
+                return len(events), loop.time() - started_s
 
         count, took_s = run_virtual(run)
         self.assertEqual(count, 40)
@@ -143,7 +143,7 @@
             pause.extend(0.1234564)
             task = asyncio.create_task(pause.wait())
             await asyncio.sleep(0.123456)
-            for _ in range(100):  # the clock stands still meanwhile
+            for _ in range(100):  # the virtual clock does not advance here
                 await asyncio.sleep(0)
             return task.done()
 
@@ -165,7 +165,7 @@
 
 
 class RandomRunTest(unittest.TestCase):
-    def test_memory_is_exact_under_random_work(self):
+    def test_memory_accounting_under_random_load(self):
         for seed in range(4):
             with self.subTest(seed=seed):
                 run_virtual(lambda seed=seed: self.run_random(seed))
@@ -176,14 +176,14 @@
         self.assertEqual(dumps[0], dumps[1])
 
     async def run_random(self, seed: int) -> str:
-        choices = random.Random(seed)
+        rng = random.Random(seed)
         async with open_client(memory_tokens=9_000, restart_s=1) as client:
             tasks = []
             for number in range(150):
-                work = self.one(client, choices, f"r{number}")
+                work = self.run_request(client, rng, f"r{number}")
                 tasks.append(asyncio.create_task(work))
-                await asyncio.sleep(choices.expovariate(10))
-                self.check(client.engine)
+                await asyncio.sleep(rng.expovariate(10))
+                self.check_memory(client.engine)
             await asyncio.gather(*tasks)
             for kv_id in list(client.engine.job_table.kv_caches):
                 await client.call("DELETE", f"/v1/kv/{kv_id}")
@@ -192,33 +192,33 @@
             self.assertEqual(client.engine.batch.jobs(), [])
             return client.engine.history.dump()
 
-    async def one(
-        self, client: EngineClient, choices: random.Random, name: str
+    async def run_request(
+        self, client: EngineClient, rng: random.Random, name: str
     ) -> None:
-        prompt = choices.choice("abc") * choices.randint(1, 20_000)
-        stop_after_s = choices.expovariate(0.5)
-        cancels, crashes = choices.random() < 0.3, choices.random() < 0.03
-        if choices.random() < 0.3:
+        prompt = rng.choice("abc") * rng.randint(1, 20_000)
+        timeout_s = rng.expovariate(0.5)
+        cancels, crashes = rng.random() < 0.3, rng.random() < 0.03
+        if rng.random() < 0.3:
             call = client.call("POST", "/v1/prefill", {"prompt": prompt}, name)
         else:
-            priority = choices.randint(0, 2)
+            priority = rng.randint(0, 2)
             call = client.complete(prompt, 9, name, priority=priority)
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-            await asyncio.wait_for(call, stop_after_s)
+            await asyncio.wait_for(call, timeout_s)
         if crashes:
             client.engine.crash()
         if cancels:
             with contextlib.suppress(aiohttp.ClientError):
                 await client.call("DELETE", f"/v1/streams/{name}/1")
 
-    def check(self, engine: EngineStandIn) -> None:
+    def check_memory(self, engine: EngineStandIn) -> None:
         batch = engine.batch
-        held = [
+        retained = [
             job
             for job in engine.job_table.kv_caches.values()
             if job.kv_retained
         ]
-        running = [*batch.prefilling, *batch.decoding, *held]
+        running = [*batch.prefilling, *batch.decoding, *retained]
         used = sum(job.memory_tokens for job in running)
         self.assertEqual(batch.memory_used_tokens, used)
         self.assertLessEqual(used, engine.options.memory_tokens)
--- a/tests/standins/test_plain_service.py
+++ b/tests/standins/test_plain_service.py
@@ -14,7 +14,7 @@
 
 
 class PlainServiceTest(unittest.TestCase):
-    def test_each_run_is_recorded_and_none_deduplicated(self):
+    def test_repeated_requests_run_again_and_are_recorded(self):
         async def run():
             async with (
                 open_session() as session,
@@ -37,7 +37,7 @@
         self.assertEqual(booked, {"id": "b2", "booking": {"slot": "09:00"}})
         self.assertEqual(keys, ["k", "k", ""])
 
-    def test_failure_after_the_run_and_crash(self):
+    def test_failed_response_and_crash(self):
         async def run():
             async with (
                 open_session() as session,
@@ -63,7 +63,7 @@
         self.assertEqual(load, expected)
         self.assertEqual(bookings, 1)
 
-    def test_change_with_a_lost_answer_takes_effect(self):
+    def test_update_with_lost_response_takes_effect(self):
         async def run():
             async with (
                 open_session() as session,
@@ -100,8 +100,8 @@
                     url = store.url + "/weights/m/v1"
                     async with session.get(url) as response:
                         statuses.append(response.status)
-                        after = response.headers.get("Retry-After")
-                        self.assertIn(after, (None, "5"))
+                        retry_after = response.headers.get("Retry-After")
+                        self.assertIn(retry_after, (None, "5"))
                 return statuses
 
         self.assertEqual(run_virtual(run), [200, 429, 200])
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -58,15 +58,15 @@
                     await client.call("PUT", path, "x" * 1_000_000),
                 ]
 
-        answers = run_virtual(run)
-        self.assertEqual(answers[0], (200, {"key": "a/b", "version": 1}))
-        self.assertEqual(answers[1], (412, {"version": 1}))
-        self.assertEqual(answers[2], (200, {"key": "a/b", "version": 2}))
-        self.assertEqual(answers[3], (412, {"version": 2}))
-        self.assertEqual(answers[4], (412, {"version": 0}))
+        responses = run_virtual(run)
+        self.assertEqual(responses[0], (200, {"key": "a/b", "version": 1}))
+        self.assertEqual(responses[1], (412, {"version": 1}))
+        self.assertEqual(responses[2], (200, {"key": "a/b", "version": 2}))
+        self.assertEqual(responses[3], (412, {"version": 2}))
+        self.assertEqual(responses[4], (412, {"version": 0}))
         found = {"key": "a/b", "version": 2, "value": [3]}
-        self.assertEqual(answers[5], (200, found))
-        statuses = [status for status, _ in answers[6:]]
+        self.assertEqual(responses[5], (200, found))
+        statuses = [status for status, _ in responses[6:]]
         self.assertEqual(statuses, [412, 200, 404, 413])
 
     def test_list_and_watch(self):
@@ -83,21 +83,21 @@
                 await asyncio.sleep(1)
                 self.assertFalse(task.done())
                 await client.call("DELETE", "/objects/p/1")
-                _, seen = await task
+                _, watched = await task
                 loop = asyncio.get_running_loop()
                 started_s = loop.time()
                 empty = await client.call("GET", path + "5")
-                return listed, seen, empty, loop.time() - started_s
+                return listed, watched, empty, loop.time() - started_s
 
-        listed, seen, empty, waited_s = run_virtual(run)
+        listed, watched, empty, waited_s = run_virtual(run)
         keys = [item["key"] for item in listed["items"]]
         self.assertEqual((keys, listed["revision"]), (["p/1", "p/2"], 3))
         event = {"kind": "delete", "key": "p/1", "version": 5, "value": None}
-        self.assertEqual(seen, {"events": [event], "revision": 5})
+        self.assertEqual(watched, {"events": [event], "revision": 5})
         self.assertEqual(empty, (200, {"events": [], "revision": 5}))
         self.assertAlmostEqual(waited_s, 10, delta=0.01)
 
-    def test_compacted_watch(self):
+    def test_watch_before_compacted_revision_is_rejected(self):
         async def run():
             async with open_client(kept_events=3) as client:
                 for number in range(5):
@@ -116,18 +116,18 @@
                 calls = [
                     client.call("PUT", f"/objects/{i}", i) for i in range(15)
                 ]
-                answers = await asyncio.gather(*calls)
+                responses = await asyncio.gather(*calls)
                 await asyncio.sleep(0.55)
                 later = [
                     await client.call("PUT", "/objects/a", 1) for _ in range(7)
                 ]
-                return [[a[0] for a in part] for part in (answers, later)]
+                return [[a[0] for a in batch] for batch in (responses, later)]
 
         at_once, later = run_virtual(run)
         self.assertEqual(at_once.count(429), 5)
         self.assertEqual(later.count(429), 2)
 
-    def test_lost_answers_take_effect(self):
+    def test_writes_with_lost_responses_take_effect(self):
         async def run(hang: bool):
             async with open_client() as client:
                 platform = client.platform
@@ -168,7 +168,7 @@
         self.assertEqual((statuses, puts), ([503, 503, 200], 1))
         self.assertAlmostEqual(took_s, 3, delta=0.01)
 
-    def test_broken_watch_sees_nothing_until_repaired(self):
+    def test_broken_watch_returns_no_events_until_repaired(self):
         async def run():
             async with open_client() as client:
                 client.platform.watch_broken = True
@@ -183,7 +183,7 @@
         self.assertEqual(broken, {"events": [], "revision": 0})
         self.assertEqual(count, 1)
 
-    def test_instances_lag(self):
+    def test_instance_list_lags(self):
         async def run():
             async with open_client(instances_lag_s=2) as client:
                 body = {"instances": [{"name": "i1", "zone": "z1"}]}
--- a/tests/standins/test_process.py
+++ b/tests/standins/test_process.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins as processes of their own, on real sockets."""
+"""Tests of the stand-ins as separate processes on real sockets."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 
 import aiohttp
 
-LIMIT_S = 20
+TEST_TIMEOUT_S = 20
 
 
-async def start(*arguments: str) -> tuple[asyncio.subprocess.Process, str]:
+async def start_standin(
+    *arguments: str,
+) -> tuple[asyncio.subprocess.Process, str]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -29,8 +31,10 @@
 
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
-    async def use(self, arguments: list[str], path: str, control: Any) -> str:
-        process, url = await start(*arguments)
+    async def exercise(
+        self, arguments: list[str], path: str, control: Any
+    ) -> str:
+        process, url = await start_standin(*arguments)
         try:
             async with aiohttp.ClientSession() as session:
                 async with session.get(url + path) as response:
@@ -53,27 +57,27 @@
                 process.kill()
         return history
 
-    async def test_each_serves_and_stops_cleanly(self):
+    async def test_each_standin_serves_and_exits_cleanly(self):
         cases = [
             (["platform", "--writes_per_second=5"], "/objects", "outage"),
             (["engine", "--name=e1", "--starts_warm"], "/load", "turn_cold"),
             (["plain", "--name=p1"], "/slots", "leaving"),
             (["weights"], "/weights/m/1", "outage"),
         ]
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             histories = [
-                await self.use(arguments, path, {switch: True})
+                await self.exercise(arguments, path, {switch: True})
                 for arguments, path, switch in cases
             ]
         self.assertIn('"kind":"turned_cold"', histories[1])
         self.assertIn('"path":"/slots"', histories[2])
 
-    async def test_open_stream_is_broken_at_the_end(self):
-        process, url = await start("engine", "--starts_warm")
+    async def test_open_stream_is_aborted_on_shutdown(self):
+        process, url = await start_standin("engine", "--starts_warm")
         body = {"prompt": "hello", "max_tokens": 5_000, "stream": True}
         try:
             async with (
-                asyncio.timeout(LIMIT_S),
+                asyncio.timeout(TEST_TIMEOUT_S),
                 aiohttp.ClientSession() as session,
                 session.post(url + "/v1/completions", json=body) as response,
             ):
