--- a/src/auburnswitch/clock.py
+++ b/src/auburnswitch/clock.py
@@ -1,4 +1,4 @@
-"""The daemon's one source of time."""
+"""Provides the time sources of the daemons."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Wall-clock time that advances with the running loop.
 
     Attributes:
-        offset_s: Difference of wall-clock and loop time, in seconds.
+        offset_s: Wall-clock time minus loop time, in seconds.
     """
 
     __slots__ = ("offset_s",)
@@ -26,7 +26,7 @@
         self.offset_s = offset_s
 
     def now_s(self) -> float:
-        """Returns seconds since the epoch."""
+        """Returns the wall-clock time, in seconds since the epoch."""
         return self.offset_s + monotonic_s()
 
 
--- a/src/auburnswitch/http_client.py
+++ b/src/auburnswitch/http_client.py
@@ -1,4 +1,4 @@
-"""Keeps the HTTP client from sending a request twice."""
+"""Prevents automatic retries by the HTTP client library."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class ConnectionLostError(aiohttp.ClientConnectionError):
-    """The connection broke after a request was perhaps received."""
+    """The connection broke when the server may have received the request."""
 
 
 async def send_at_most_once(
     request: ClientRequest, handler: ClientHandlerType
 ) -> ClientResponse:
-    """Is a client middleware under which a request is sent at most once.
+    """Sends a request at most once, as a client middleware.
 
-    The client library sends a GET, HEAD, OPTIONS, TRACE, PUT or DELETE again
-    when its connection breaks before the answer, on a new connection as well
-    as on a kept one. It does not do so for the error raised here.
+    The client library retries a GET, HEAD, OPTIONS, TRACE, PUT or DELETE when
+    the connection breaks before the response, on new and on reused
+    connections. It does not retry after the error raised here.
 
     Raises:
-        ConnectionLostError: The connection broke before the answer.
+        ConnectionLostError: The connection broke before the response.
     """
     try:
         return await handler(request)
--- a/src/auburnswitch/http_exchange.py
+++ b/src/auburnswitch/http_exchange.py
@@ -1,8 +1,8 @@
-"""One HTTP request and its answer on a connection of their own.
+"""Sends one HTTP request on a connection of its own and reads the response.
 
-Bytes are taken in the order in which they came, and the end of the connection
-after all of them. What follows a whole answer, whether the bytes of another
-answer, torn bytes or a reset, therefore belongs to nothing.
+Received bytes are processed in order, and the end of the connection only after
+all of them. Anything after a complete response is therefore ignored: the bytes
+of another response, incomplete data or a connection reset.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 MAX_UNREAD_BYTES: Final = 256 * 1024
 MAX_HEAD_BYTES: Final = 64 * 1024
-_LENGTH: Final = "content-length"
+_CONTENT_LENGTH_HEADER: Final = "content-length"
 _METHODS_WITHOUT_BODY: Final = ("GET", "HEAD", "OPTIONS", "TRACE")
 
 
@@ -30,20 +30,28 @@
 
 
 class ExchangeError(Exception):
-    """The answer is broken, or the connection ended before its end."""
+    """The response is malformed, or the connection ended before its end."""
 
 
 class _Connection(asyncio.Protocol):
-    """Keeps what arrives until it is read.
+    """Buffers received bytes until they are read.
 
     Attributes:
-        end: Why the connection ended, None as long as it is open.
+        close_reason: Error that ended the connection (EOFError for a regular
+            close), None while it is open.
     """
 
-    __slots__ = ("_parts", "_paused", "_transport", "_unread", "_wake", "end")
+    __slots__ = (
+        "_parts",
+        "_paused",
+        "_transport",
+        "_unread",
+        "_wake",
+        "close_reason",
+    )
 
     def __init__(self) -> None:
-        self.end: Exception | None = None
+        self.close_reason: Exception | None = None
         self._parts: collections.deque[bytes] = collections.deque()
         self._unread = 0
         self._paused = False
@@ -62,31 +70,31 @@
             self._transport.pause_reading()
 
     def eof_received(self) -> None:
-        self._note_end(EOFError("the connection was closed"))
+        self._on_close(EOFError("the connection was closed"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._note_end(exc or EOFError("the connection was closed"))
+        self._on_close(exc or EOFError("the connection was closed"))
 
-    def _note_end(self, end: Exception) -> None:
-        self.end = self.end or end
+    def _on_close(self, close_reason: Exception) -> None:
+        self.close_reason = self.close_reason or close_reason
         self._wake.set()
 
     async def read(self) -> bytes:
-        """Returns the next bytes, none at the regular end of the connection.
+        """Returns the next bytes, or none after a regular close.
 
         Raises:
             OSError: The connection broke.
         """
-        while not self._parts and self.end is None:
+        while not self._parts and self.close_reason is None:
             self._wake.clear()
             await self._wake.wait()
         if self._parts:
-            return self._take()
-        if isinstance(self.end, EOFError):
+            return self._take_unread()
+        if isinstance(self.close_reason, EOFError):
             return b""
-        raise self.end
+        raise self.close_reason
 
-    def _take(self) -> bytes:
+    def _take_unread(self) -> bytes:
         data = b"".join(self._parts)
         self._parts.clear()
         self._unread = 0
@@ -97,10 +105,10 @@
 
 
 class HttpExchange:
-    """Sends one request and reads its answer.
+    """Sends one request and reads its response.
 
     Attributes:
-        authority: Host and port, for requests that name no host.
+        authority: Host and port, sent as Host header if the request has none.
     """
 
     __slots__ = ("_connection", "_state", "_transport", "authority")
@@ -127,18 +135,20 @@
         headers: list[tuple[str, str]],
         body: bytes = b"",
     ) -> None:
-        """Sends the request, which is done once for each exchange.
+        """Sends the request; must be called only once per exchange.
 
         Raises:
-            ExchangeError: The request cannot be put into HTTP.
+            ExchangeError: The request cannot be encoded as HTTP.
         """
-        sent = [(n, v) for n, v in headers if n.lower() != _LENGTH]
-        if not any(name.lower() == "host" for name, _ in sent):
-            sent.insert(0, ("host", self.authority))
+        request_headers = [
+            (n, v) for n, v in headers if n.lower() != _CONTENT_LENGTH_HEADER
+        ]
+        if not any(name.lower() == "host" for name, _ in request_headers):
+            request_headers.insert(0, ("host", self.authority))
         if body or method not in _METHODS_WITHOUT_BODY:
-            sent.append((_LENGTH, str(len(body))))
+            request_headers.append((_CONTENT_LENGTH_HEADER, str(len(body))))
         try:
-            data = self._encode(method, target, sent, body)
+            data = self._encode(method, target, request_headers, body)
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
             raise ExchangeError(repr(error)) from error
         self._transport.write(data)
@@ -162,10 +172,11 @@
         return b"".join(part for part in parts if part)
 
     async def read_head(self) -> h11.Response:
-        """Returns the start of the answer.
+        """Returns the status line and headers of the response.
 
         Raises:
-            ExchangeError: There is none.
+            ExchangeError: The response is malformed, or the connection ended
+                before it.
         """
         while True:
             event = await self._next_event()
@@ -177,10 +188,10 @@
             raise ExchangeError("the connection ended before an answer")
 
     async def read_part(self) -> bytes:
-        """Returns the next bytes of the body, none at its end.
+        """Returns the next bytes of the body, or none at its end.
 
         Raises:
-            ExchangeError: The body is broken or cut short.
+            ExchangeError: The body is malformed or truncated.
         """
         while True:
             event = await self._next_event()
@@ -194,10 +205,10 @@
                     raise ExchangeError("the body is cut short")
 
     async def read_all(self) -> bytes:
-        """Returns the rest of the body.
+        """Returns the remaining body.
 
         Raises:
-            ExchangeError: The body is broken or cut short.
+            ExchangeError: The body is malformed or truncated.
         """
         parts = []
         while part := await self.read_part():
@@ -233,7 +244,7 @@
             connection=connection,
         )
     finally:
-        transport.abort()  # a peer that is still at work need not go on
+        transport.abort()  # cancels work that the peer still does
 
 
 async def _connect(
@@ -242,14 +253,14 @@
     loop = asyncio.get_running_loop()
     with contextlib.ExitStack() as stack:
         try:
-            opened = stack.enter_context(open_keepalive_socket())
-            opened.setblocking(False)
+            tcp_socket = stack.enter_context(open_keepalive_socket())
+            tcp_socket.setblocking(False)
             async with asyncio.timeout(timeout_s):
-                await loop.sock_connect(opened, (host, port))
-        except OSError as error:  # the timeout's error is one of them
+                await loop.sock_connect(tcp_socket, (host, port))
+        except OSError as error:  # includes TimeoutError
             raise ConnectError(repr(error)) from error
         transport, _ = await loop.create_connection(
-            lambda: connection, sock=opened
+            lambda: connection, sock=tcp_socket
         )
         stack.pop_all()  # the transport closes the socket
     return transport
--- a/src/auburnswitch/http_server.py
+++ b/src/auburnswitch/http_server.py
@@ -25,11 +25,13 @@
 
 
 class HttpServer:
-    """A listening server.
+    """A listening HTTP server.
 
     Attributes:
-        host: IP address it listens on.
-        port: TCP port it listens on, also when port 0 was asked for.
+        server: The uvicorn server.
+        host: IP address that it listens on.
+        port: TCP port that it listens on; the assigned port if port 0 was
+            requested.
     """
 
     __slots__ = ("host", "port", "server")
@@ -45,7 +47,7 @@
         return f"http://{self.host}:{self.port}"
 
     def abort(self) -> None:
-        """Breaks every connection; the server's end then waits for none."""
+        """Aborts every connection, so that shutdown does not wait for them."""
         self.server.force_exit = True
         for connection in list(self.server.server_state.connections):
             connection.transport.abort()
@@ -61,13 +63,13 @@
 ) -> AsyncIterator[HttpServer]:
     """Serves an application until the context ends.
 
-    Connections that are open at the end are served to their end.
+    Requests that are in progress at the end are completed.
 
     Args:
         app: The application.
         host: IP address to listen on.
-        port: TCP port to listen on; 0 takes a free one.
-        max_header_bytes: Largest size of a request's headers.
+        port: TCP port to listen on; 0 selects a free port.
+        max_header_bytes: Maximum size of a request's headers, in bytes.
 
     Yields:
         The listening server.
@@ -110,8 +112,8 @@
 def _bound_port(server: uvicorn.Server, port: int) -> int:
     if port:
         return port
-    listening: socket.socket = server.servers[0].sockets[0]
-    return listening.getsockname()[1]
+    listening_socket: socket.socket = server.servers[0].sockets[0]
+    return listening_socket.getsockname()[1]
 
 
 async def _tick(server: uvicorn.Server) -> None:
--- a/src/auburnswitch/keepalive_socket.py
+++ b/src/auburnswitch/keepalive_socket.py
@@ -1,11 +1,11 @@
-"""TCP sockets that notice when their peer falls silent."""
+"""TCP sockets that detect an unresponsive peer."""
 
 from __future__ import annotations
 
 import socket
 from typing import Final
 
-USER_TIMEOUT_MS: Final = 1500  # data that a peer's host does not confirm
+USER_TIMEOUT_MS: Final = 1500  # limit for unacknowledged data
 KEEPALIVE_IDLE_S: Final = 2
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
@@ -16,18 +16,22 @@
     kind: int = socket.SOCK_STREAM,
     protocol: int = socket.IPPROTO_TCP,
 ) -> socket.socket:
-    """Opens a TCP socket that fails soon after its peer is out of reach."""
-    opened = socket.socket(family=family, type=kind, proto=protocol)
-    opened.setsockopt(
+    """Opens a TCP socket that fails soon after its peer is unreachable."""
+    tcp_socket = socket.socket(family=family, type=kind, proto=protocol)
+    tcp_socket.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
     )
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    opened.setsockopt(
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    tcp_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S
+    )
+    tcp_socket.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
     )
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    return opened
+    tcp_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES
+    )
+    return tcp_socket
 
 
 __all__ = ["open_keepalive_socket"]
--- a/src/auburnswitch/results.py
+++ b/src/auburnswitch/results.py
@@ -1,4 +1,4 @@
-"""Refusals and failures with their numbered result codes."""
+"""Refusals and failures with their numeric result codes."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Refusal:
-    """A final answer that is not the one the caller asked for.
+    """An error answer to a request, with its result code.
 
     Attributes:
         code: The result code.
-        message: What happened, for a person.
+        message: Human-readable description of the error.
         ran: Whether an endpoint may have run the request.
-        retry_after_s: When the caller may come back, in seconds.
+        retry_after_s: Delay before the caller may retry, in seconds; None if
+            none is given.
     """
 
     code: ResultCode
@@ -27,11 +28,11 @@
 
     @property
     def http_status(self) -> int:
-        """HTTP status of the code."""
+        """HTTP status for the result code."""
         return int(RESULTCODE_INFO[self.code].options["http"])
 
     def headers(self) -> dict[str, str]:
-        """Returns the HTTP headers that go with the refusal."""
+        """Returns the additional HTTP headers of the refusal."""
         if self.retry_after_s is None:
             return {}
         return {"Retry-After": str(max(1, math.ceil(self.retry_after_s)))}
@@ -56,7 +57,7 @@
     ran: Ran | None = None,
     retry_after_s: float | None = None,
 ) -> Refusal:
-    """Builds a refusal with its code's message and ``ran`` as defaults."""
+    """Builds a refusal; message and ``ran`` default to those of its code."""
     info = RESULTCODE_INFO[code]
     return Refusal(
         code=code,
