--- a/src/auburnswitch/entry/__main__.py
+++ b/src/auburnswitch/entry/__main__.py
@@ -4,7 +4,7 @@
 
 import signal
 
-signal.signal(signal.SIGHUP, signal.SIG_IGN)  # imports take a while
+signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored during the slow imports
 
 from auburnswitch.entry.run import run  # noqa: E402
 
--- a/src/auburnswitch/entry/entry_daemon.py
+++ b/src/auburnswitch/entry/entry_daemon.py
@@ -1,4 +1,4 @@
-"""Wires the parts of an entry daemon together."""
+"""Creates and connects the components of an entry daemon."""
 
 from __future__ import annotations
 
@@ -45,32 +45,28 @@
     from auburnswitch.schema.gossip import Gossip, WorkItem
 
 EXPIRY_INTERVAL_S: Final = 0.5
-PEER_DISCOVERY_S: Final = (
-    1.0  # in which peers are given time to tell their state
-)
+PEER_DISCOVERY_S: Final = 1.0  # time for peers to send their state
 READER_ELECTION_KEY: Final = "store reader"
 READER_CHECK_INTERVAL_S: Final = 0.1
 DAEMONS_PER_GROUP: Final = 8
 MEMBER_CHECK_INTERVAL_S: Final = 15.0
-MISSED_INTERVALS_BEFORE_REMOVAL: Final = (
-    6  # of silence, after which a daemon is forgotten
-)
-ASSUMED_DAEMON_COUNT: Final = 20  # assumed until the others are known
+MISSED_INTERVALS_BEFORE_REMOVAL: Final = 6  # member check intervals
+ASSUMED_DAEMON_COUNT: Final = 20  # used until the peers are known
 _MS_PER_S: Final = 1000.0
 
 
 class EntryDaemon:
-    """All parts of one entry daemon.
+    """All components of one entry daemon.
 
     Attributes:
-        settings: The checked settings.
-        installation: What is known of the installation.
-        app: The application that callers reach.
-        gossip: Datagrams to and from the other daemons.
-        stopping: The daemon was told to stop.
-        started_at: Loop time of its start, in seconds.
-        member_check_interval_s: Time between two looks for daemons that are
-            gone.
+        settings: The validated settings.
+        installation: Known configuration and endpoints of the installation.
+        app: ASGI application that serves callers.
+        gossip: Exchanges datagrams with the other daemons.
+        stopping: The daemon is shutting down.
+        started_at: Loop time of the daemon's start, in seconds.
+        member_check_interval_s: Interval between checks for terminated
+            daemons, in seconds.
     """
 
     def __init__(
@@ -87,9 +83,9 @@
         self.stopping = False
         self.started_at = monotonic_s()
         self.member_check_interval_s = MEMBER_CHECK_INTERVAL_S
-        self._reader = False
-        self._reader_checked_at = -READER_CHECK_INTERVAL_S
-        self._told_everywhere: set[int] = set()
+        self._should_read = False
+        self._reader_updated_at = -READER_CHECK_INTERVAL_S
+        self._fleet_wide_work_ids: set[int] = set()
         self.store = PlatformStoreClient(settings=settings.store)
         record = DaemonRecord(
             instance=settings.instance.name,
@@ -105,9 +101,9 @@
         self.gossip = GossipNode(
             local_record=record,
             incarnation=int(time.time() * _MS_PER_S),
-            fill_state=self._describe,
+            fill_state=self._fill_state,
             list_work=self._list_work,
-            on_gossip=self._note_gossip,
+            on_gossip=self._on_gossip,
             is_reader=self._is_reader,
             is_cell_peer=self.cells.is_cell_peer,
         )
@@ -133,14 +129,15 @@
             rates=SendRateLimiter(
                 bounds=settings.bounds, count_daemons=self._count_daemons
             ),
-            on_change=self._tell_change,
-            group=self._group,
+            on_change=self._publish_work_change,
+            group=self._daemon_group,
             cells=self.cells,
             rng=rng,
         )
-        calls = PlatformEndpointClient()
+        endpoint_client = PlatformEndpointClient()
         self.memory_reservations = MemoryReservations(
-            calls=calls, prefix=f"{record.instance}-{self.gossip.incarnation}"
+            calls=endpoint_client,
+            prefix=f"{record.instance}-{self.gossip.incarnation}",
         )
         self.crash_registry = CrashRegistry()
         self.statistics = EntryStatistics()
@@ -148,7 +145,7 @@
             statistics=self.statistics,
             crash_registry=self.crash_registry,
             selector=self.endpoint_selector,
-            calls=calls,
+            calls=endpoint_client,
             memory=self.memory_reservations,
             budget=WindowedRetryBudget(
                 bounds=settings.bounds, count_daemons=self._count_daemons
@@ -157,7 +154,7 @@
         self.load_observer = LoadObserver(
             installation=self.installation,
             load=self.fleet_load,
-            calls=calls,
+            calls=endpoint_client,
             instance=record.instance,
             live_instances=lambda: [
                 peer.record.instance for peer in self.gossip.live_peers()
@@ -174,7 +171,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether the daemon accepts new connections."""
         return self.installation.complete and not self.stopping
 
     def start(self) -> None:
@@ -185,12 +182,12 @@
             )
         self.tasks.start(self._join(), "join")
         self.tasks.start(self.gossip.run(), "gossip")
-        self.tasks.start(self._expire(), "expire")
+        self.tasks.start(self._run_expiry(), "expire")
         self.tasks.start(self.load_observer.run(), "observe engines")
-        self.tasks.start(self._keep_members(), "keep members")
+        self.tasks.start(self._maintain_members(), "keep members")
 
     def gauges(self) -> dict[str, Callable[[], float]]:
-        """Returns what is read when metrics are collected."""
+        """Returns the gauges of the metrics and how to read them."""
         return {
             "requests_in_flight": lambda: self.app.in_flight,
             "live_peers": lambda: len(self.gossip.live_peers()),
@@ -200,89 +197,94 @@
         }
 
     def begin_drain(self) -> None:
-        """Turns unready; open connections are served on."""
+        """Becomes unready but continues to serve open connections."""
         self.stopping = True
         self.app.stopping = True
         self.gossip.stopping = True
         self.gossip.send_state()
 
     async def _join(self) -> None:
-        key, others = await self.directory.join()
-        for record in others:
+        key, known_records = await self.directory.join()
+        for record in known_records:
             self.gossip.add_peer(record)
         self.gossip.key = key
         self.gossip.send_state()
 
-    async def _keep_members(self) -> None:
-        """Forgets daemons that are gone; finds others again after a cut."""
+    async def _maintain_members(self) -> None:
+        """Removes silent peers, and rejoins the fleet when no peer is live."""
         while True:
             await asyncio.sleep(self.member_check_interval_s)
             if not self.gossip.key:
                 continue
-            gone = self.gossip.remove_silent_peers(
+            removed = self.gossip.remove_silent_peers(
                 MISSED_INTERVALS_BEFORE_REMOVAL * self.member_check_interval_s
             )
-            for instance in gone:
+            for instance in removed:
                 log_event(EventId.PEER_FORGOTTEN, peer=instance)
                 if self._is_reader():
                     await self.directory.unregister(instance)
             if not self.gossip.live_peers():
                 await self._join()
 
-    async def _expire(self) -> None:
+    async def _run_expiry(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             self.fleet_load.expire(self.gossip.local_record.instance)
 
-    def _group(self) -> str:
+    def _daemon_group(self) -> str:
         """Returns the group of daemons that prefer the same engines."""
-        groups = max(1, len(self.gossip.peers) // DAEMONS_PER_GROUP)
+        group_count = max(1, len(self.gossip.peers) // DAEMONS_PER_GROUP)
         instance = self.gossip.local_record.instance
-        return rendezvous_owner(instance, [str(n) for n in range(groups)])
+        return rendezvous_owner(instance, [str(n) for n in range(group_count)])
 
     def _count_daemons(self) -> int:
-        """Counts the daemons there may be, whether they answer or not."""
+        """Returns the estimated number of daemons, live or not."""
         known = 1 + len(self.gossip.peers)
         return known if self.gossip.key else max(known, ASSUMED_DAEMON_COUNT)
 
     def _is_reader(self) -> bool:
-        """Whether this daemon reads the store, for itself and its peers."""
+        """Whether this daemon reads the store for itself and its peers."""
         now = monotonic_s()
-        if now >= self._reader_checked_at + READER_CHECK_INTERVAL_S:
-            self._reader_checked_at = now
-            self._reader = self._has_reader_duty()
-        return self._reader
+        if now >= self._reader_updated_at + READER_CHECK_INTERVAL_S:
+            self._reader_updated_at = now
+            self._should_read = self._should_read_store()
+        return self._should_read
 
-    def _has_reader_duty(self) -> bool:
+    def _should_read_store(self) -> bool:
         if not self.gossip.key:
             return monotonic_s() - self.started_at > PEER_DISCOVERY_S
         readers = self.settings.store.readers
-        live = [peer.record for peer in self.gossip.live_peers()]
+        live_records = [peer.record for peer in self.gossip.live_peers()]
         starting = monotonic_s() - self.started_at < PEER_DISCOVERY_S
         if starting:
-            live = [peer.record for peer in self.gossip.peers.values()]
-        if len(live) < readers:
+            live_records = [peer.record for peer in self.gossip.peers.values()]
+        if len(live_records) < readers:
             return True
-        me = self.gossip.local_record.instance
-        able = fastest_link_instances([*live, self.gossip.local_record])
-        order = rendezvous_order(READER_ELECTION_KEY, able)
-        if me in order[:readers]:
+        local_instance = self.gossip.local_record.instance
+        eligible_instances = fastest_link_instances(
+            [*live_records, self.gossip.local_record]
+        )
+        reader_order = rendezvous_order(READER_ELECTION_KEY, eligible_instances)
+        if local_instance in reader_order[:readers]:
             return True
         if starting:
-            return False  # those that are in order tell in a moment
-        heard_at = self._peers_read_at()
-        if heard_at is None:
+            return False  # the elected readers send their state shortly
+        peers_read_at = self._latest_peer_read_at()
+        if peers_read_at is None:
             return True
-        age_s = monotonic_s() - heard_at
+        age_s = monotonic_s() - peers_read_at
         return age_s > self.settings.store.peer_read_max_age_s + (
             self.settings.store.watch_wait_s
         )
 
-    def _peers_read_at(self) -> float | None:
-        times = [peer.store_read_at() for peer in self.gossip.live_peers()]
-        return max((t for t in times if t is not None), default=None)
+    def _latest_peer_read_at(self) -> float | None:
+        read_times = [peer.store_read_at() for peer in self.gossip.live_peers()]
+        return max(
+            (read_at for read_at in read_times if read_at is not None),
+            default=None,
+        )
 
-    def _describe(self, message: Gossip) -> None:
+    def _fill_state(self, message: Gossip) -> None:
         message.config_version = self.installation.config_version
         message.endpoints_revision = self.installation.endpoints_revision
         message.closed_zones_revision = self.installation.closed_zones_revision
@@ -295,51 +297,61 @@
         items = self.fleet_load.items[self.gossip.local_record.instance]
         now = monotonic_s()
         for item in items.values():
-            share = self.fleet_load.by_endpoint[
+            endpoint_work = self.fleet_load.by_endpoint[
                 item.endpoint
             ].work_by_request.get((self.gossip.local_record.instance, item.id))
-            if share is not None:
-                item.remaining_ms = max(0.0, share.ends_at - now) * _MS_PER_S
+            if endpoint_work is not None:
+                item.remaining_ms = (
+                    max(0.0, endpoint_work.ends_at - now) * _MS_PER_S
+                )
         return list(items.values())
 
-    def _tell_change(self, started: list[WorkItem], ended: list[int]) -> None:
+    def _publish_work_change(
+        self, started: list[WorkItem], ended: list[int]
+    ) -> None:
         for item in started:
-            to_all_cells = self._concerns_all(item)
+            to_all_cells = self._concerns_all_cells(item)
             if to_all_cells:
-                self._told_everywhere.add(item.id)
+                self._fleet_wide_work_ids.add(item.id)
             self.gossip.send_started_work([item], to_all_cells=to_all_cells)
-        for number in ended:
-            to_all_cells = number in self._told_everywhere
-            self._told_everywhere.discard(number)
-            self.gossip.schedule_ended_work([number], to_all_cells=to_all_cells)
+        for work_id in ended:
+            to_all_cells = work_id in self._fleet_wide_work_ids
+            self._fleet_wide_work_ids.discard(work_id)
+            self.gossip.schedule_ended_work(
+                [work_id], to_all_cells=to_all_cells
+            )
 
-    def _concerns_all(self, item: WorkItem) -> bool:
-        """Whether daemons of other cells may use an endpoint of the work."""
-        known = self.installation.endpoints.get(item.endpoint)
-        if known is None or not item.memory_tokens:
-            return False  # plain endpoints are chosen by what is known near
-        split = self.cells.spans_cells(known.entry.service_name)
-        used = (item.endpoint, *item.helpers)
-        return not split or not all(map(self.cells.is_cell_endpoint, used))
+    def _concerns_all_cells(self, item: WorkItem) -> bool:
+        """Whether other cells may use one of the item's endpoints."""
+        endpoint = self.installation.endpoints.get(item.endpoint)
+        if endpoint is None or not item.memory_tokens:
+            return False  # plain endpoints use only load known in the cell
+        spans_cells = self.cells.spans_cells(endpoint.entry.service_name)
+        endpoints_in_use = (item.endpoint, *item.helpers)
+        return not spans_cells or not all(
+            map(self.cells.is_cell_endpoint, endpoints_in_use)
+        )
 
-    def _note_gossip(self, peer: GossipPeer, message: Gossip) -> None:
-        name = peer.record.instance
+    def _on_gossip(self, peer: GossipPeer, message: Gossip) -> None:
+        instance = peer.record.instance
         if message.complete:
-            self.fleet_load.replace(name, message.items)
+            self.fleet_load.replace(instance, message.items)
         else:
             for item in message.items:
-                self.fleet_load.add(name, item)
+                self.fleet_load.add(instance, item)
                 self.endpoint_selector.rates.record_fleet_send(item.endpoint)
         self.crash_registry.merge_peer_crashes(message.crash_strikes)
         for report in message.reports:
             self.load_observer.apply_report(report)
-        for number in message.ended:
-            self.fleet_load.remove(name, number)
+        for work_id in message.ended:
+            self.fleet_load.remove(instance, work_id)
         if message.changes is not None:
-            self.installation.change_endpoints(message.changes, f"peer {name}")
+            self.installation.change_endpoints(
+                message.changes, f"peer {instance}"
+            )
         if message.config_changes is not None:
             self.installation.change_config(
-                message.config_changes, f"peer {name}"
+                message.config_changes, f"peer {instance}"
             )
         if self.state_exchange.is_behind(message):
             self.tasks.start(self.state_exchange.catch_up(), "fetch state")
--- a/src/auburnswitch/entry/monitoring_apps.py
+++ b/src/auburnswitch/entry/monitoring_apps.py
@@ -1,4 +1,4 @@
-"""Small applications that the platform and operators ask."""
+"""ASGI applications for readiness checks and metrics."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
 
 
 class ReadinessApp:
-    """Answers the readiness check."""
+    """Answers readiness checks.
+
+    Attributes:
+        is_ready: Returns whether the daemon accepts new connections.
+    """
 
     __slots__ = ("is_ready",)
 
@@ -31,16 +35,23 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Answers one check."""
-        known = scope["type"] == "http" and scope["path"] == READINESS_PATH
+        """Answers one readiness check."""
+        is_readiness_request = (
+            scope["type"] == "http" and scope["path"] == READINESS_PATH
+        )
         status = (
-            (OK if self.is_ready() else UNAVAILABLE) if known else NOT_FOUND
+            (OK if self.is_ready() else UNAVAILABLE)
+            if is_readiness_request
+            else NOT_FOUND
         )
-        await _answer(send, status, b"")
+        await _send_response(send, status, b"")
 
 
 class MetricsApp:
-    """Serves the metrics of a daemon; their library is imported when asked."""
+    """Serves the metrics of a daemon.
+
+    The metrics library is imported at the first request.
+    """
 
     __slots__ = ("daemon", "metrics")
 
@@ -53,7 +64,7 @@
     ) -> None:
         """Answers one request."""
         if scope["type"] != "http" or scope["path"] != METRICS_PATH:
-            await _answer(send, NOT_FOUND, b"")
+            await _send_response(send, NOT_FOUND, b"")
             return
         if self.metrics is None:
             from auburnswitch.observe.entry_metrics import EntryMetrics
@@ -61,10 +72,10 @@
             self.metrics = EntryMetrics(
                 statistics=self.daemon.statistics, gauges=self.daemon.gauges()
             )
-        await _answer(send, OK, self.metrics.export())
+        await _send_response(send, OK, self.metrics.export())
 
 
-async def _answer(send: Send, status: int, body: bytes) -> None:
+async def _send_response(send: Send, status: int, body: bytes) -> None:
     headers = [
         (b"content-type", b"text/plain; charset=utf-8"),
         (b"content-length", str(len(body)).encode()),
--- a/src/auburnswitch/entry/run.py
+++ b/src/auburnswitch/entry/run.py
@@ -1,4 +1,4 @@
-"""Runs an entry daemon until it is told to stop."""
+"""Runs an entry daemon until it receives a stop signal."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
     from auburnswitch.schema.entry import EntrySettings
 
-DEREGISTRATION_DELAY_S: Final = 2.6  # until no new connections come
+DEREGISTRATION_DELAY_S: Final = 2.6  # until no new connections arrive
 STOP_MARGIN_S: Final = 0.7
 DRAIN_POLL_INTERVAL_S: Final = 0.05
 EXIT_OK: Final = 0
@@ -34,7 +34,7 @@
 EXIT_CANNOT_LISTEN: Final = 3
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -55,8 +55,8 @@
             rng=random.Random(),
         )
         listen = settings.listen
-        callers = _split(listen.callers)
-        readiness = _split(listen.readiness)
+        callers = _split_address(listen.callers)
+        readiness = _split_address(listen.readiness)
         async with (
             _open_metrics(daemon),
             daemon.gossip.open(),
@@ -84,14 +84,14 @@
     if not address:
         yield
         return
-    host, port = _split(address)
+    host, port = _split_address(address)
     app = MetricsApp(daemon=daemon)
     async with open_http_server(app, host=host, port=port):
         yield
 
 
 async def drain(daemon: EntryDaemon) -> None:
-    """Serves on until no requests are left or the time is up."""
+    """Keeps serving until no request is in flight or the grace period ends."""
     loop = asyncio.get_running_loop()
     stopped_at = loop.time()
     grace_s = daemon.settings.bounds.stop_grace_s - STOP_MARGIN_S
@@ -105,7 +105,7 @@
 
 
 async def serve(settings: EntrySettings, path: Path) -> int:
-    """Runs until SIGTERM or SIGINT; SIGHUP reads the settings again."""
+    """Runs until SIGTERM or SIGINT; SIGHUP reloads the settings."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -124,7 +124,7 @@
 
 
 def reload_settings(daemon: EntryDaemon, path: Path) -> None:
-    """Takes over the bounds of a changed settings file, if it is valid."""
+    """Applies the bounds of the changed settings file if it is valid."""
     match load_entry_settings(path):
         case Result(tag="ok", ok=settings):
             for name in settings.bounds.descriptions:
--- a/tests/entry/test_listen_errors.py
+++ b/tests/entry/test_listen_errors.py
@@ -1,4 +1,4 @@
-"""An entry daemon whose addresses are in use says so and starts nothing."""
+"""Tests that an entry daemon fails to start when an address is in use."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class ListenErrorTest(unittest.IsolatedAsyncioTestCase):
-    async def test_port_for_peers_is_in_use(self):
+    async def test_peer_port_in_use(self):
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-            made = entry_settings("entry", "127.0.0.1:9")
+            settings = entry_settings("entry", "127.0.0.1:9")
             with (
                 self.subTest(kind),
-                socket.socket(socket.AF_INET, kind) as other,
+                socket.socket(socket.AF_INET, kind) as occupying_socket,
             ):
-                other.bind(("127.0.0.1", made.listen.peer_port))
+                occupying_socket.bind(("127.0.0.1", settings.listen.peer_port))
                 if kind is socket.SOCK_STREAM:
-                    other.listen()
+                    occupying_socket.listen()
                 with self.assertRaises(ListenError):
-                    async with open_entry_daemon(made):
+                    async with open_entry_daemon(settings):
                         pass
 
-    async def test_port_for_callers_is_in_use(self):
-        made = entry_settings("entry", "127.0.0.1:9")
-        host, port = made.listen.callers.split(":")
-        with socket.socket() as other:
-            other.bind((host, int(port)))
-            other.listen()
+    async def test_caller_port_in_use(self):
+        settings = entry_settings("entry", "127.0.0.1:9")
+        host, port = settings.listen.callers.split(":")
+        with socket.socket() as occupying_socket:
+            occupying_socket.bind((host, int(port)))
+            occupying_socket.listen()
             with self.assertRaises(ListenError):
-                async with open_entry_daemon(made):
+                async with open_entry_daemon(settings):
                     pass
 
 
--- a/tests/entry/test_load_observation.py
+++ b/tests/entry/test_load_observation.py
@@ -1,4 +1,4 @@
-"""Entry daemons observe the engines' own reports."""
+"""Tests that entry daemons apply the engines' load reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LoadObservationTest(unittest.IsolatedAsyncioTestCase):
-    async def test_unknown_work_and_slowness_are_known_to_all(self):
+    async def test_unknown_work_and_slowdown_reach_all_daemons(self):
         async with open_installation(daemons=2) as fleet:
             runner = fleet.runners["engine-0"]
             runner.running = 3
--- a/tests/entry/test_metrics.py
+++ b/tests/entry/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry daemon."""
+"""Tests of an entry daemon's metrics."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through an entry daemon, with endpoints that fail."""
+"""Tests of requests through an entry daemon, with endpoint failures."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self.assertLessEqual(int(arrival.headers["x-deadline-ms"]), 3000)
         self.assertTrue(body.startswith(b"answer of request-"))
 
-    async def test_caller_cannot_name_its_team(self):
+    async def test_caller_cannot_set_its_team(self):
         async with open_installation() as fleet:
             await fleet.call("/book/1", headers={"X-Tenant": "another"})
         self.assertEqual(fleet.arrivals[0].headers["x-tenant"], "walk-ins")
@@ -57,7 +57,7 @@
                 self.assertNotIn("retry-after", headers)
                 self.assertEqual(len(fleet.arrivals), 1)
 
-    async def test_own_error_of_an_endpoint_is_passed_on(self):
+    async def test_endpoint_error_is_forwarded(self):
         async with open_installation() as fleet:
             for runner in fleet.runners.values():
                 runner.faults.append(Fault.SERVER_ERROR)
@@ -66,7 +66,7 @@
         self.assertIn("x-response-seal", headers)
         self.assertEqual(len(fleet.arrivals), 1)
 
-    async def test_refusal_as_not_run_may_be_sent_elsewhere(self):
+    async def test_request_that_was_not_executed_may_be_retried(self):
         async with open_installation() as fleet:
             for name in ("desk-0", "desk-1"):
                 fleet.runners[name].faults.append(Fault.NOT_EXECUTED)
@@ -75,7 +75,7 @@
         self.assertIn("retry-after", headers)
         self.assertFalse(any(arrival.ran for arrival in fleet.arrivals))
 
-    async def test_idempotent_is_repeated_elsewhere(self):
+    async def test_idempotent_is_retried_elsewhere(self):
         for fault in (
             Fault.DISCONNECT,
             Fault.SERVER_ERROR,
@@ -86,9 +86,9 @@
                     fleet.runners["desk-0"].faults.append(fault)
                     fleet.put_endpoint("desk-1", "desk", State="draining")
                     await asyncio.sleep(0.05)
-                    await self._repeat(fleet)
+                    await self._check_retry_elsewhere(fleet)
 
-    async def _repeat(self, fleet):
+    async def _check_retry_elsewhere(self, fleet):
         call = asyncio.create_task(fleet.call("/read/1", method="GET"))
         await wait_until(lambda: fleet.arrivals)
         fleet.put_endpoint("desk-1", "desk")
@@ -96,7 +96,7 @@
         if status == 200:
             self.assertTrue(body.startswith(b"answer of"))
 
-    async def test_endpoint_with_another_id_does_not_run_it(self):
+    async def test_endpoint_with_another_id_does_not_run_the_request(self):
         async with open_installation(plain_services=1) as fleet:
             fleet.runners["desk-0"].id = "restarted"
             status, _, _ = await fleet.call("/book/1")
@@ -108,15 +108,19 @@
         async with open_installation(
             initial_config=make_config(Limits=limits)
         ) as fleet:
-            large = await fleet.call("/book/1", body=b"x" * 101)
-            long = await fleet.call("/book/1", headers={"X-Long": "x" * 400})
-            right = await fleet.call("/book/1", body=b"x" * 100)
-        self.assertEqual([large[0], long[0], right[0]], [413, 431, 200])
-
-    async def test_answer_at_the_route_timeout(self):
-        made = make_config()
-        made["Routes"][2]["TimeoutMs"] = 300
-        async with open_installation(initial_config=made) as fleet:
+            large_body = await fleet.call("/book/1", body=b"x" * 101)
+            long_headers = await fleet.call(
+                "/book/1", headers={"X-Long": "x" * 400}
+            )
+            at_limit = await fleet.call("/book/1", body=b"x" * 100)
+        self.assertEqual(
+            [large_body[0], long_headers[0], at_limit[0]], [413, 431, 200]
+        )
+
+    async def test_route_timeout_is_answered_in_time(self):
+        config = make_config()
+        config["Routes"][2]["TimeoutMs"] = 300
+        async with open_installation(initial_config=config) as fleet:
             for runner in fleet.runners.values():
                 runner.faults.append(Fault.NO_RESPONSE)
             started = asyncio.get_running_loop().time()
@@ -130,13 +134,14 @@
             for runner in fleet.runners.values():
                 runner.faults.extend([Fault.DISCONNECT] * 9)
             answers = [await fleet.call("/book/7") for _ in range(6)]
-            other = await fleet.call("/book/8", body=b"another")
+            other_answer = await fleet.call("/book/8", body=b"another")
         statuses = [status for status, _, _ in answers]
         self.assertEqual(statuses[:3], [502, 502, 502])
         self.assertEqual(statuses[-1], 503)
         self.assertNotIn("retry-after", answers[-1][2])
         self.assertLessEqual(len(fleet.arrivals), 7)
-        self.assertEqual(other[0], 502)  # it is still tried
+        # another request is still attempted
+        self.assertEqual(other_answer[0], 502)
 
 
 class StreamTest(unittest.IsolatedAsyncioTestCase):
@@ -144,13 +149,13 @@
         async with open_installation() as fleet:
             status, body, _ = await fleet.call("/chat/1", tokens=SHORT)
         self.assertEqual(status, 200)
-        self.assertEqual(_ids(body), [1, 2, 3, 4, 5])
+        self.assertEqual(_event_ids(body), [1, 2, 3, 4, 5])
 
-    async def test_stream_goes_on_elsewhere_after_a_partial_event(self):
+    async def test_stream_is_resumed_elsewhere_after_a_partial_event(self):
         async with open_installation() as fleet:
             for name in ("engine-0", "engine-1"):
                 fleet.runners[name].faults.append(Fault.DISCONNECT_MID_EVENT)
-            # the second engine is cut as well unless the first was asked
+            # only engine-0 disconnects, and only it is open at first
             fleet.runners["engine-1"].faults.clear()
             fleet.put_endpoint("engine-1", "engines", State="draining")
             await asyncio.sleep(0.05)
@@ -161,24 +166,24 @@
             fleet.put_endpoint("engine-1", "engines")
             status, body, _ = await call
         self.assertEqual(status, 200)
-        self.assertEqual(_ids(body), [1, 2, 3, 4, 5])
+        self.assertEqual(_event_ids(body), [1, 2, 3, 4, 5])
         resumed = fleet.runners["engine-1"].received_requests[0].headers
         self.assertEqual(resumed["last-event-id"], "1")
 
-    async def test_broken_stream_without_another_engine_looks_cut(self):
+    async def test_broken_stream_without_another_engine_is_aborted(self):
         async with open_installation(engines=1) as fleet:
             fleet.runners["engine-0"].faults.append(Fault.DISCONNECT_MID_EVENT)
             with self.assertRaises(aiohttp.ClientError):
                 await fleet.call("/chat/1", tokens=SHORT)
 
-    async def test_callers_own_last_event_id(self):
+    async def test_last_event_id_of_the_caller(self):
         async with open_installation() as fleet:
             _, body, _ = await fleet.call(
                 "/chat/1", tokens=SHORT, headers={"Last-Event-Id": "3"}
             )
-        self.assertEqual(_ids(body), [4, 5])
+        self.assertEqual(_event_ids(body), [4, 5])
 
-    async def test_engine_stops_when_the_caller_leaves(self):
+    async def test_engine_stops_when_the_caller_disconnects(self):
         async with open_installation(engines=1) as fleet:
             runner = fleet.runners["engine-0"]
             runner.event_count, runner.event_interval_s = 200, 0.02
@@ -193,13 +198,13 @@
     async def test_memory_of_a_long_prompt_is_reserved_and_released(self):
         async with open_installation(engines=3) as fleet:
             status, _, _ = await fleet.call("/chat/1", tokens="80000,50")
-            helped = fleet.arrivals[0].headers["x-helpers"]
+            helpers = fleet.arrivals[0].headers["x-helpers"]
             engines = list(fleet.runners.values())
             await wait_until(lambda: not any(r.reservations for r in engines))
         self.assertEqual(status, 200)
-        self.assertIn("/entry-0-", helped)
+        self.assertIn("/entry-0-", helpers)
 
-    async def test_no_memory_is_left_when_one_engine_refuses(self):
+    async def test_refused_memory_reservation_fails_the_request(self):
         async with open_installation(engines=2) as fleet:
             for runner in fleet.runners.values():
                 runner.capacity_tokens = 10
@@ -208,7 +213,7 @@
         self.assertIn("retry-after", headers)
         self.assertEqual(fleet.arrivals, [])
 
-    async def test_prompt_over_all_memory_is_refused_at_once(self):
+    async def test_prompt_larger_than_all_memory_is_refused_at_once(self):
         async with open_installation(engines=2) as fleet:
             started = asyncio.get_running_loop().time()
             status, _, headers = await fleet.call("/chat/1", tokens="900000,50")
@@ -218,7 +223,7 @@
         self.assertGreaterEqual(float(headers["retry-after"]), 1.5)
 
 
-def _ids(body: bytes) -> list[int]:
+def _event_ids(body: bytes) -> list[int]:
     lines = body.decode().splitlines()
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
