--- a/src/auburnswitch/callers/__init__.py
+++ b/src/auburnswitch/callers/__init__.py
@@ -1,3 +1,3 @@
-"""Serves callers over HTTP."""
+"""HTTP interface for callers."""
 
 from __future__ import annotations
--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -54,9 +54,10 @@
     """Serves completions and plain services.
 
     Attributes:
-        parser: Checks requests.
+        parser: Validates requests.
         dispatcher: Runs completions.
         plain_router: Runs plain requests.
+        metrics: Counts the requests by result code.
         get_admission_refusal: Returns why new work is refused, or None.
     """
 
@@ -119,7 +120,7 @@
         return JSONResponse(model_list(self.parser.state))
 
     async def _complete(self, request: Request, *, chat: bool) -> Response:
-        self._check_open()
+        self._check_admission()
         self.parser.check_header_size(request.headers)
         caller = self.parser.authenticate(request.headers)
         raw = await self.parser.read_body(request)
@@ -130,11 +131,13 @@
         first = await anext(parts)
         if isinstance(first, AnswerFailed):
             await parts.aclose()
-            return self._refused(first.refusal, completion.request.id)
+            return self._refusal_response(first.refusal, completion.request.id)
         headers = {"X-Request-Id": completion.request.id}
         if completion.stream:
             return self._event_stream(completion, first, parts, headers)
-        return await self._whole(completion, first, parts, headers)
+        return await self._completion_response(
+            completion, first, parts, headers
+        )
 
     def _event_stream(
         self,
@@ -146,40 +149,40 @@
         request_id = completion.request.id
         settings = self.parser.settings.callers
         return EventStreamResponse(
-            chunks=self._chunks(completion, first, parts),
+            chunks=self._encode_parts(completion, first, parts),
             headers=headers,
             write_timeout_s=settings.slow_caller_timeout_s,
-            on_disconnect=lambda: self._count(
+            on_disconnect=lambda: self._record_result(
                 ResultCode.CALLER_GONE, request_id
             ),
-            on_write_timeout=lambda: self._count(
+            on_write_timeout=lambda: self._record_result(
                 ResultCode.CALLER_TOO_SLOW, request_id
             ),
         )
 
-    async def _chunks(
+    async def _encode_parts(
         self,
         completion: Completion,
         first: AnswerPart,
         parts: AsyncGenerator[AnswerPart, None],
     ) -> AsyncGenerator[bytes, None]:
         async with contextlib.aclosing(parts):
-            yield self._chunk(completion, first)
+            yield self._encode_part(completion, first)
             async for part in parts:
-                yield self._chunk(completion, part)
+                yield self._encode_part(completion, part)
 
-    def _chunk(self, completion: Completion, part: AnswerPart) -> bytes:
+    def _encode_part(self, completion: Completion, part: AnswerPart) -> bytes:
         match part:
             case AnswerText(text=text):
                 return text_chunk(completion, text)
             case AnswerEnd():
-                self._count(ResultCode.OK, completion.request.id)
+                self._record_result(ResultCode.OK, completion.request.id)
                 return final_chunk(completion, part)
             case AnswerFailed(refusal=refused):
-                self._count(refused.code, completion.request.id)
+                self._record_result(refused.code, completion.request.id)
                 return error_event(refused)
 
-    async def _whole(
+    async def _completion_response(
         self,
         completion: Completion,
         first: AnswerPart,
@@ -193,15 +196,15 @@
             while isinstance(part, AnswerText):
                 text.append(part.text)
                 part = await anext(parts)
-            await anext(parts, None)  # lets the attempt end in order
+            await anext(parts, None)  # lets the attempt finish its cleanup
         if isinstance(part, AnswerFailed):
-            return self._refused(part.refusal, request_id)
-        self._count(ResultCode.OK, request_id)
+            return self._refusal_response(part.refusal, request_id)
+        self._record_result(ResultCode.OK, request_id)
         body = completion_object(completion, "".join(text), part)
         return JSONResponse(body, headers=headers)
 
     async def _plain_service(self, request: Request) -> Response:
-        self._check_open()
+        self._check_admission()
         self.parser.check_header_size(request.headers)
         caller = self.parser.authenticate(request.headers)
         raw = await self.parser.read_body(request)
@@ -218,25 +221,27 @@
             method=request.method,
             path=path + (f"?{request.url.query}" if request.url.query else ""),
             body=raw,
-            headers=_passed_headers(request),
+            headers=_forwarded_headers(request),
             idempotency_key=self.parser.parse_idempotency_key(request.headers),
         )
         outcome = await self.plain_router.run(routed, call)
         match outcome:
             case PlainAnswer(status=status, body=body, headers=headers):
-                self._count(ResultCode.OK, routed.id)
+                self._record_result(ResultCode.OK, routed.id)
                 headers = headers | {"X-Request-Id": routed.id}
                 return Response(body, status_code=status, headers=headers)
             case Refusal():
-                return self._refused(outcome, routed.id)
+                return self._refusal_response(outcome, routed.id)
 
-    def _check_open(self) -> None:
+    def _check_admission(self) -> None:
         refused = self.get_admission_refusal()
         if refused is not None:
             raise RefusalError(refused)
 
-    def _refused(self, refused: Refusal, request_id: str = "") -> Response:
-        self._count(refused.code, request_id)
+    def _refusal_response(
+        self, refused: Refusal, request_id: str = ""
+    ) -> Response:
+        self._record_result(refused.code, request_id)
         headers = refused.headers()
         if request_id:
             headers["X-Request-Id"] = request_id
@@ -244,33 +249,33 @@
             refused.to_json(), status_code=refused.http_status, headers=headers
         )
 
-    def _count(self, code: ResultCode, request_id: str) -> None:
+    def _record_result(self, code: ResultCode, request_id: str) -> None:
         self.metrics.requests.add(1, {"code": code.name.lower()})
         event = EventId.REQUEST_FAILED if code else EventId.REQUEST_FINISHED
         log_event(event, request_id=request_id, code=int(code))
 
     async def _on_refusal(self, _: Request, error: Exception) -> Response:
         assert isinstance(error, RefusalError)
-        return self._refused(error.refusal)
+        return self._refusal_response(error.refusal)
 
     async def _on_unknown_path(self, _: Request, __: Exception) -> Response:
-        return self._refused(refusal(ResultCode.UNKNOWN_SERVICE))
+        return self._refusal_response(refusal(ResultCode.UNKNOWN_SERVICE))
 
     async def _on_bad_method(self, _: Request, __: Exception) -> Response:
-        return self._refused(refusal(ResultCode.BAD_METHOD))
+        return self._refusal_response(refusal(ResultCode.BAD_METHOD))
 
     async def _on_error(self, _: Request, error: Exception) -> Response:
         log_event(EventId.TASK_FAILED, task="request", error=repr(error))
-        return self._refused(refusal(ResultCode.INTERNAL))
+        return self._refusal_response(refusal(ResultCode.INTERNAL))
 
 
 def _service_path(request: Request) -> str:
-    """Returns the path below the service's name, encoded as it was sent."""
+    """Returns the path after the service name, with its original encoding."""
     raw_path = request.scope["raw_path"].decode("ascii")
     return "/" + raw_path.split("/", 3)[3]
 
 
-def _passed_headers(request: Request) -> dict[str, str]:
+def _forwarded_headers(request: Request) -> dict[str, str]:
     names = ("content-type", "accept", "idempotency-key")
     return {
         name: request.headers[name] for name in names if name in request.headers
--- a/src/auburnswitch/callers/caller_writer.py
+++ b/src/auburnswitch/callers/caller_writer.py
@@ -1,4 +1,4 @@
-"""Answers to callers of the entry daemon."""
+"""Writes responses to callers of the entry daemon."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 
 class EntryRefusalError(Exception):
-    """The daemon answers a request by itself.
+    """The daemon refuses a request or reports its failure to the caller.
 
     Attributes:
-        status: HTTP status of the answer.
-        retry_after_s: When the caller may come back, None if it should not.
+        status: HTTP status of the response.
+        retry_after_s: Delay before the caller may retry, in seconds; None if
+            it should not retry.
     """
 
     def __init__(
@@ -31,12 +32,13 @@
 
 
 class CallerWriter:
-    """Writes one answer to a caller.
+    """Writes one response to a caller.
 
     Attributes:
-        should_close: Returns whether the caller is asked to close its
+        send: The ASGI send function.
+        should_close: Returns whether to request that the caller closes its
             connection.
-        started: The status has been written.
+        started: The status and headers have been written.
     """
 
     __slots__ = ("send", "should_close", "started")
@@ -74,7 +76,7 @@
         await self.send({"type": "http.response.body", "body": b""})
 
     async def refuse(self, refused: EntryRefusalError) -> None:
-        """Answers a request by itself."""
+        """Writes a complete error response."""
         body = f"{refused}\n".encode()
         headers = [
             ("content-type", "text/plain; charset=utf-8"),
--- a/src/auburnswitch/callers/completion_format.py
+++ b/src/auburnswitch/callers/completion_format.py
@@ -1,4 +1,4 @@
-"""Writes answers in the shape that model clients use."""
+"""Formats answers as completion objects and stream chunks."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def text_chunk(completion: Completion, text: str) -> bytes:
-    """Returns the stream chunk of a piece of the answer."""
+    """Returns the stream chunk for a part of the answer's text."""
     if completion.chat:
         choice = {"index": 0, "delta": {"content": text}}
     else:
@@ -23,7 +23,7 @@
 
 
 def final_chunk(completion: Completion, end: AnswerEnd) -> bytes:
-    """Returns the chunks that end a whole answer."""
+    """Returns the chunks that end a complete stream."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": end.finish_reason}
     choice["delta" if completion.chat else "text"] = (
         {} if completion.chat else ""
@@ -33,14 +33,14 @@
 
 
 def error_event(refused: Refusal) -> bytes:
-    """Returns the event that ends a broken answer."""
+    """Returns the event that ends a failed stream."""
     return b"event: error\n" + _event(refused.to_json())
 
 
 def completion_object(
     completion: Completion, text: str, end: AnswerEnd
 ) -> dict[str, Any]:
-    """Returns a whole answer as one object."""
+    """Returns a complete answer as one object."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": end.finish_reason}
     if completion.chat:
         choice["message"] = {"role": "assistant", "content": text}
@@ -51,7 +51,7 @@
 
 
 def model_list(state: ConfigState) -> dict[str, Any]:
-    """Returns the models that are served."""
+    """Returns the list of served models."""
     models = sorted(
         {service.model or name for name, service in state.services.items()}
     )
--- a/src/auburnswitch/callers/entry_app.py
+++ b/src/auburnswitch/callers/entry_app.py
@@ -1,4 +1,7 @@
-"""The listener that callers reach through the operators' routes."""
+"""ASGI application of the entry daemon for callers.
+
+Requests are routed according to the configured routes.
+"""
 
 from __future__ import annotations
 
@@ -38,18 +41,16 @@
 GATEWAY_TIMEOUT: Final = 504
 DEFAULT_ROUTE_TIMEOUT_S: Final = 30.0
 RETRY_AFTER_STARTUP_S: Final = 0.5
-RETRY_AFTER_OUTAGE_S: Final = 3.0  # the store does not answer
+RETRY_AFTER_OUTAGE_S: Final = 3.0  # store unavailable
 EXPECTED_STARTUP_S: Final = 1.0
-RETRY_AFTER_DRAIN_S: Final = 0.05  # another daemon takes it at once
-RETRY_AFTER_OVERLOAD_RANGE_S: Final = (0.6, 1.8)  # spreads those that come back
-RETRY_AFTER_UNAVAILABLE_RANGE_S: Final = (
-    1.5,
-    3.0,
-)  # endpoints are back after seconds
+RETRY_AFTER_DRAIN_S: Final = 0.05  # another daemon can accept it at once
+RETRY_AFTER_OVERLOAD_RANGE_S: Final = (0.6, 1.8)  # spreads the retries
+# Endpoints recover within seconds.
+RETRY_AFTER_UNAVAILABLE_RANGE_S: Final = (1.5, 3.0)
 
 
 class ResponseAbortedError(Exception):
-    """Ends a connection in the middle of an answer, which shows it as cut."""
+    """Aborts the connection so that the caller sees a truncated response."""
 
 
 class CallerDisconnectedError(Exception):
@@ -60,11 +61,11 @@
     """An ASGI application that routes requests to the installation's services.
 
     Attributes:
-        stopping: Each answer asks the caller to close its connection.
-        refuses_requests: New requests are refused, as they might not end in
-            time.
+        stopping: Each response requests that the caller closes its connection.
+        refuses_requests: New requests are refused, because they might not
+            complete before the daemon stops.
         started_at: Loop time of the daemon's start, in seconds.
-        in_flight: Requests that have been read and not been answered.
+        in_flight: Number of requests whose response is not complete.
     """
 
     def __init__(
@@ -116,30 +117,32 @@
     ) -> None:
         arrived_at = monotonic_s()
         try:
-            table = self._table()
+            table = self._require_route_table()
             self._check_headers(headers, table.config.limits)
             body = await read_body(receive, table.config.limits.max_body_bytes)
-            job = self._job(request, body, arrived_at)
+            job = self._make_job(request, body, arrived_at)
         except EntryRefusalError as refused:
             await writer.refuse(refused)
-            self._log(request, arrived_at, f"refused, {refused}", None)
+            self._record_outcome(
+                request, arrived_at, f"refused, {refused}", None
+            )
             return
         except CallerDisconnectedError:
             return
         await self._deliver(job, receive, writer)
 
-    def _table(self) -> RouteTable:
+    def _require_route_table(self) -> RouteTable:
         if self.refuses_requests:
             raise EntryRefusalError(
                 UNAVAILABLE, "stopping", RETRY_AFTER_DRAIN_S
             )
         table = self.installation.table
         if table is None or not self.installation.complete:
-            started = monotonic_s() - self.started_at < EXPECTED_STARTUP_S
+            is_starting = monotonic_s() - self.started_at < EXPECTED_STARTUP_S
             raise EntryRefusalError(
                 UNAVAILABLE,
                 "no configuration yet",
-                RETRY_AFTER_STARTUP_S if started else RETRY_AFTER_OUTAGE_S,
+                RETRY_AFTER_STARTUP_S if is_starting else RETRY_AFTER_OUTAGE_S,
             )
         return table
 
@@ -148,10 +151,10 @@
         if size > limits.max_header_bytes:
             raise EntryRefusalError(HEADERS_TOO_LARGE, "headers too large")
 
-    def _job(
+    def _make_job(
         self, request: CallerRequest, body: bytes, arrived_at: float
     ) -> DeliveryJob:
-        table = self._table()
+        table = self._require_route_table()
         if not request.id or not request.host:
             raise EntryRefusalError(BAD_REQUEST, "no request id or no host")
         route = table.route(request.host, request.path)
@@ -167,7 +170,7 @@
                 UNAVAILABLE, "no such service", RETRY_AFTER_STARTUP_S
             )
         timeout_s = route.timeout_s or DEFAULT_ROUTE_TIMEOUT_S
-        caller_s = request.deadline_s or timeout_s
+        caller_timeout_s = request.deadline_s or timeout_s
         return DeliveryJob(
             request=request,
             body=body,
@@ -175,8 +178,8 @@
             service=service,
             team=team.name if team else "",
             arrived_at=arrived_at,
-            deadline_at=arrived_at + min(timeout_s, caller_s),
-            caller_deadline_at=arrived_at + caller_s,
+            deadline_at=arrived_at + min(timeout_s, caller_timeout_s),
+            caller_deadline_at=arrived_at + caller_timeout_s,
             fingerprint=compute_fingerprint(request, body),
         )
 
@@ -186,13 +189,15 @@
         delivery = asyncio.ensure_future(
             self.delivery_runner.deliver(job, writer)
         )
-        gone = asyncio.ensure_future(_disconnected(receive))
+        disconnect = asyncio.ensure_future(_wait_for_disconnect(receive))
         try:
             await asyncio.wait(
-                (delivery, gone), return_when=asyncio.FIRST_COMPLETED
+                (delivery, disconnect), return_when=asyncio.FIRST_COMPLETED
             )
             if not delivery.done():
-                self._log(job.request, job.arrived_at, "caller left", job)
+                self._record_outcome(
+                    job.request, job.arrived_at, "caller left", job
+                )
                 return
             outcome = delivery.result()
         except Exception as error:
@@ -204,12 +209,12 @@
             )
             raise
         finally:
-            gone.cancel()
+            disconnect.cancel()
             delivery.cancel()
-            await asyncio.gather(delivery, gone, return_exceptions=True)
-        await self._conclude(job, outcome, writer)
+            await asyncio.gather(delivery, disconnect, return_exceptions=True)
+        await self._finish(job, outcome, writer)
 
-    async def _conclude(
+    async def _finish(
         self,
         job: DeliveryJob,
         outcome: Delivered | DeliveryFailed,
@@ -218,15 +223,17 @@
         match outcome:
             case Delivered(status=status):
                 result = f"delivered, {status}"
-                self._log(job.request, job.arrived_at, result, job)
+                self._record_outcome(job.request, job.arrived_at, result, job)
                 return
             case DeliveryFailed(reason=reason):
-                self._log(job.request, job.arrived_at, f"failed, {reason}", job)
+                self._record_outcome(
+                    job.request, job.arrived_at, f"failed, {reason}", job
+                )
         if writer.started:
             raise ResponseAbortedError(outcome.reason)
-        await writer.refuse(self._failure(job, outcome))
+        await writer.refuse(self._failure_answer(job, outcome))
 
-    def _failure(
+    def _failure_answer(
         self, job: DeliveryJob, failed: DeliveryFailed
     ) -> EntryRefusalError:
         if not failed.may_have_run:
@@ -246,7 +253,7 @@
             case RetryAdvice.NEVER:
                 return None
 
-    def _log(
+    def _record_outcome(
         self,
         request: CallerRequest,
         arrived_at: float,
@@ -270,10 +277,11 @@
 
 
 async def read_body(receive: Receive, max_bytes: int) -> bytes:
-    """Reads a whole body.
+    """Reads the complete body.
 
     Raises:
-        CallerDisconnectedError: The connection ended first.
+        CallerDisconnectedError: The connection ended before the body.
+        EntryRefusalError: The body is larger than ``max_bytes``.
     """
     parts: list[bytes] = []
     size = 0
@@ -290,7 +298,7 @@
             return b"".join(parts)
 
 
-async def _disconnected(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
 
--- a/src/auburnswitch/callers/event_stream.py
+++ b/src/auburnswitch/callers/event_stream.py
@@ -1,4 +1,4 @@
-"""Sends an answer as server-sent events to a caller that may be slow."""
+"""Streams an answer as server-sent events, with a write timeout."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class EventStreamResponse(Response):
-    """Streams chunks until they end, the caller goes or reads too slowly.
+    """Streams chunks until they end, or the caller disconnects or is too slow.
 
-    The server's write buffer is bounded: sending waits while the caller does
-    not read, and so does reading from the endpoint.
+    The server's write buffer is bounded. While the caller does not read,
+    sending waits, and thus also reading from the endpoint (backpressure).
 
     Attributes:
-        chunks: The chunks of the answer; closed in every case.
-        write_timeout_s: Longest wait for a caller to read a chunk, in seconds.
-        on_disconnect: Called when the caller closed the connection.
-        on_write_timeout: Called when the caller did not read in time.
+        chunks: The chunks of the answer; the generator is always closed.
+        write_timeout_s: Maximum time to write a chunk, in seconds.
+        on_disconnect: Called when the caller has closed the connection.
+        on_write_timeout: Called when writing a chunk has timed out.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
     ) -> None:
         """Sends the response as an ASGI application."""
         sender = asyncio.create_task(self._send_all(send))
-        watcher = asyncio.create_task(_wait_gone(receive))
+        watcher = asyncio.create_task(_wait_for_disconnect(receive))
         try:
             await asyncio.wait(
                 {sender, watcher}, return_when=asyncio.FIRST_COMPLETED
@@ -74,16 +74,16 @@
             )
             async for chunk in chunks:
                 if not await self._send_chunk(send, chunk):
-                    return  # the server closes the unfinished response
-        await self._send_chunk(send, b"", more=False)
+                    return  # the server aborts the incomplete response
+        await self._send_chunk(send, b"", more_body=False)
 
     async def _send_chunk(
-        self, send: Send, chunk: bytes, *, more: bool = True
+        self, send: Send, chunk: bytes, *, more_body: bool = True
     ) -> bool:
         message = {
             "type": "http.response.body",
             "body": chunk,
-            "more_body": more,
+            "more_body": more_body,
         }
         try:
             async with asyncio.timeout(self.write_timeout_s):
@@ -97,7 +97,7 @@
         return True
 
 
-async def _wait_gone(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
 
--- a/src/auburnswitch/callers/in_flight.py
+++ b/src/auburnswitch/callers/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts the requests that have not been answered to their end."""
+"""Counts the requests whose response is not complete."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
     Attributes:
         app: The application.
-        count: Requests that run.
-        idle: Set while none runs.
+        count: Number of requests in flight.
+        idle: Set while no request is in flight.
     """
 
     __slots__ = ("app", "count", "idle")
--- a/src/auburnswitch/callers/request_parser.py
+++ b/src/auburnswitch/callers/request_parser.py
@@ -1,4 +1,4 @@
-"""Checks callers' requests and turns them into routed requests."""
+"""Validates callers' requests and converts them to routed requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Caller:
-    """Who sends a request."""
+    """The authenticated sender of a request.
+
+    Attributes:
+        team: Name of the team.
+        weight: Weight of the team.
+    """
 
     team: str
     weight: float
@@ -44,13 +49,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Completion:
-    """A checked completion request.
+    """A validated completion request.
 
     Attributes:
-        request: What is routed.
-        stream: The caller wants the answer as a stream.
-        chat: The caller uses the chat form.
-        model: Model name the caller used.
+        request: The request to route.
+        stream: Whether the caller requested a streamed answer.
+        chat: Whether it is a chat completion.
+        model: Model name in the request.
     """
 
     request: RoutedRequest
@@ -60,7 +65,12 @@
 
 
 class RequestParser:
-    """Checks requests against settings and configuration."""
+    """Validates requests against the settings and the configuration.
+
+    Attributes:
+        settings: The validated settings.
+        state: The configuration in force.
+    """
 
     __slots__ = ("settings", "state")
 
@@ -69,7 +79,7 @@
         self.state = state
 
     def authenticate(self, headers: Headers) -> Caller:
-        """Returns the team that a caller key belongs to.
+        """Returns the team and weight for the caller key in the headers.
 
         Raises:
             RefusalError: The key is missing or unknown.
@@ -82,10 +92,10 @@
         return Caller(team=name, weight=self.state.teams[name].weight)
 
     def check_header_size(self, headers: Headers) -> None:
-        """Checks the size of the headers.
+        """Checks the total size of the headers.
 
         Raises:
-            RefusalError: They are too large.
+            RefusalError: The headers are too large.
         """
         limit = self.settings.callers.max_header_bytes
         size = sum(len(name) + len(value) for name, value in headers.raw)
@@ -94,7 +104,7 @@
             raise RefusalError(refusal(ResultCode.HEADER_TOO_LARGE, message))
 
     async def read_body(self, request: Request) -> bytes:
-        """Reads a body within the configured limit.
+        """Reads the body, up to the configured limit.
 
         Raises:
             RefusalError: The body is too large.
@@ -118,28 +128,28 @@
     def parse_completion(
         self, caller: Caller, headers: Headers, raw: bytes, *, chat: bool
     ) -> Completion:
-        """Checks a completion request.
+        """Validates a completion request.
 
         Raises:
-            RefusalError: The request is not acceptable.
+            RefusalError: The request is invalid or not allowed.
         """
-        body = _json_object(raw)
+        body = _parse_json_object(raw)
         model = _text_field(body, "model")
-        service_name = self._model_service(caller, model)
+        service_name = self._find_model_service(caller, model)
         service = self.state.services[service_name]
-        tokens = self._prompt_tokens(body, chat)
-        answer_tokens = self._answer_tokens(body)
-        length = classify_length(tokens, self.settings.routing)
-        deadline_s = self._deadline_s(headers, service, length)
+        tokens = self._estimate_prompt_tokens(body, chat)
+        answer_tokens = self._parse_answer_tokens(body)
+        length_class = classify_length(tokens, self.settings.routing)
+        deadline_s = self._parse_deadline_s(headers, service, length_class)
         request = RoutedRequest(
-            id=_request_id(headers),
+            id=_make_request_id(headers),
             team=caller.team,
             team_weight=caller.weight,
             service=service_name,
             deadline_at=monotonic_s() + deadline_s,
             prompt_tokens=tokens,
             answer_tokens=answer_tokens,
-            length_class=length,
+            length_class=length_class,
             fingerprint=compute_fingerprint(caller.team, raw),
             path="/v1/chat/completions" if chat else "/v1/completions",
             body=body,
@@ -161,51 +171,55 @@
         method: str,
         path: str,
     ) -> RoutedRequest:
-        """Checks a request to a plain service.
+        """Validates a request to a plain service.
 
         Raises:
-            RefusalError: The request is not acceptable.
+            RefusalError: The request is invalid or not allowed.
         """
         service = self.state.services.get(service_name)
         if service is None or service.kind != ServiceKind.PLAIN:
             raise RefusalError(refusal(ResultCode.UNKNOWN_SERVICE))
         self._check_team(caller, service)
         tokens = max(1, math.ceil(len(raw) / 4))
-        length = classify_length(tokens, self.settings.routing)
-        deadline_s = self._deadline_s(headers, service, length)
-        signed = f"{method} {path}\n".encode() + raw
+        length_class = classify_length(tokens, self.settings.routing)
+        deadline_s = self._parse_deadline_s(headers, service, length_class)
+        fingerprint_input = f"{method} {path}\n".encode() + raw
         idempotent = method in service.idempotent_methods or any(
             path.startswith(prefix) for prefix in service.idempotent_paths
         )
         return RoutedRequest(
-            id=_request_id(headers),
+            id=_make_request_id(headers),
             team=caller.team,
             team_weight=caller.weight,
             service=service_name,
             deadline_at=monotonic_s() + deadline_s,
             prompt_tokens=tokens,
             answer_tokens=0,
-            length_class=length,
-            fingerprint=compute_fingerprint(caller.team, signed),
+            length_class=length_class,
+            fingerprint=compute_fingerprint(caller.team, fingerprint_input),
             path=path,
             idempotent=idempotent,
             max_attempts=max(1, service.max_attempts) if idempotent else 1,
         )
 
     def parse_idempotency_key(self, headers: Headers) -> str:
-        """Returns the checked idempotency key, empty if there is none.
+        """Returns the validated idempotency key, empty if there is none.
 
         Raises:
-            RefusalError: The key is not acceptable.
+            RefusalError: The key is invalid.
         """
         key = headers.get(IDEMPOTENCY_HEADER)
         if key is None:
             return ""
-        if not key or len(key) > MAX_NAME_LENGTH or not _printable(key):
+        if (
+            not key
+            or len(key) > MAX_NAME_LENGTH
+            or not _is_valid_identifier(key)
+        ):
             raise RefusalError(refusal(ResultCode.BAD_IDEMPOTENCY_KEY))
         return key
 
-    def _model_service(self, caller: Caller, model: str) -> str:
+    def _find_model_service(self, caller: Caller, model: str) -> str:
         names = [
             name
             for name in self.state.services_for_model(model)
@@ -221,7 +235,7 @@
         if service.teams and caller.team not in service.teams:
             raise RefusalError(refusal(ResultCode.TEAM_NOT_ALLOWED))
 
-    def _prompt_tokens(self, body: dict[str, Any], chat: bool) -> int:
+    def _estimate_prompt_tokens(self, body: dict[str, Any], chat: bool) -> int:
         if not chat:
             prompt = _text_field(body, "prompt")
             return estimate_tokens(prompt, self.settings.routing)
@@ -231,7 +245,7 @@
         texts = [_message_text(message) for message in messages]
         return estimate_tokens("\n".join(texts), self.settings.routing)
 
-    def _answer_tokens(self, body: dict[str, Any]) -> int:
+    def _parse_answer_tokens(self, body: dict[str, Any]) -> int:
         tokens = body.get("max_tokens")
         if tokens is None:
             return self.settings.routing.default_answer_tokens
@@ -241,11 +255,16 @@
             raise _bad_field("max_tokens", "must be from 1 to 1000000")
         return tokens
 
-    def _deadline_s(self, headers: Headers, service: Service, length) -> float:  # noqa: ANN001
+    def _parse_deadline_s(
+        self,
+        headers: Headers,
+        service: Service,
+        length_class,  # noqa: ANN001
+    ) -> float:
         raw = headers.get(DEADLINE_HEADER)
         limit_s = self.settings.callers.max_deadline_s
         if raw is None:
-            return min(default_deadline_s(service, length), limit_s)
+            return min(default_deadline_s(service, length_class), limit_s)
         try:
             seconds = float(raw)
         except ValueError:
@@ -256,18 +275,22 @@
         return seconds
 
 
-def _request_id(headers: Headers) -> str:
-    given = headers.get(REQUEST_ID_HEADER, "")
-    if given and len(given) <= MAX_NAME_LENGTH and _printable(given):
-        return f"{given}.{secrets.token_hex(4)}"
+def _make_request_id(headers: Headers) -> str:
+    caller_request_id = headers.get(REQUEST_ID_HEADER, "")
+    if (
+        caller_request_id
+        and len(caller_request_id) <= MAX_NAME_LENGTH
+        and _is_valid_identifier(caller_request_id)
+    ):
+        return f"{caller_request_id}.{secrets.token_hex(4)}"
     return secrets.token_hex(12)
 
 
-def _printable(text: str) -> bool:
+def _is_valid_identifier(text: str) -> bool:
     return text.isascii() and text.isprintable() and "/" not in text
 
 
-def _json_object(raw: bytes) -> dict[str, Any]:
+def _parse_json_object(raw: bytes) -> dict[str, Any]:
     try:
         body = json.loads(raw)
     except (ValueError, RecursionError) as error:
--- a/src/auburnswitch/daemon/__init__.py
+++ b/src/auburnswitch/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: all packages wired together, from start to stop."""
+"""The daemon: creates, runs and stops all components."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/daemon/__main__.py
+++ b/src/auburnswitch/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon as a module."""
+"""Runs the daemon with ``python -m auburnswitch.daemon``."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/daemon/daemon.py
+++ b/src/auburnswitch/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Wires the packages of one daemon together."""
+"""Creates and connects the components of one daemon."""
 
 from __future__ import annotations
 
@@ -73,18 +73,18 @@
 
 
 class Daemon:
-    """All parts of one daemon.
+    """All components of one daemon.
 
     Attributes:
-        settings: The checked settings.
-        member: This incarnation.
+        settings: The validated settings.
+        member: Member record of this incarnation.
         state: The configuration in force.
-        view: What is known of the other daemons.
-        endpoint_manager: Ledgers of the owned endpoints.
+        view: Known state of the other daemons.
+        endpoint_manager: Manages the owned endpoints.
         reservations: Reservations held for callers.
-        invariants: Invariants checked so far.
-        callers: Listener for callers, once it is open.
-        operators: Listener for operators, once it is open.
+        invariants: Checks invariants and counts violations.
+        caller_server: Server for callers, None until it is open.
+        operator_server: Server for operators, None until it is open.
         stopping: The daemon refuses new work.
     """
 
@@ -153,9 +153,9 @@
         self._build_endpoints(session)
         self._build_routing(seed)
         self._build_listeners()
-        self._observe()
+        self._register_gauges()
 
-    def _observe(self) -> None:
+    def _register_gauges(self) -> None:
         """Registers the gauges that are read at each collection."""
         gauges = {
             "requests_in_flight": lambda: self.in_flight.count,
@@ -164,8 +164,8 @@
             "endpoints_owned": lambda: len(self.endpoint_manager.owned()),
             "store_calls_made": lambda: self.store.call_count,
         }
-        for name, read in gauges.items():
-            self.metrics.register_gauge(name, read)
+        for name, read_value in gauges.items():
+            self.metrics.register_gauge(name, read_value)
 
     def _build_members(self, dial: Dialer) -> None:
         shared_key = read_secret(self.settings.peers.key_file)
@@ -346,8 +346,8 @@
             status=status.to_json,
             in_force=status.in_force,
         )
-        self.callers: HttpServer | None = None
-        self.operators: HttpServer | None = None
+        self.caller_server: HttpServer | None = None
+        self.operator_server: HttpServer | None = None
 
     def get_admission_refusal(self) -> Refusal | None:
         """Returns why new work is refused, or None."""
@@ -372,7 +372,7 @@
         self.tasks.start(self.engine_reconciler.run(), "orders")
 
     async def drain(self) -> None:
-        """Refuses new work, finishes what runs and leaves the roster."""
+        """Refuses new work, completes current work and leaves the roster."""
         self.stopping = True
         log_event(EventId.DAEMON_STOPPING, member=self.member.id)
         await self.in_flight.idle.wait()
--- a/src/auburnswitch/daemon/run.py
+++ b/src/auburnswitch/daemon/run.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop."""
+"""Runs a daemon until it receives a stop signal."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     from auburnswitch.schema.settings import Settings
 
 CLAIM_FLUSH_TIMEOUT_S: Final = 5.0
-HEADER_MARGIN_BYTES: Final = 65536  # so that the refusal is a numbered one
+HEADER_MARGIN_BYTES: Final = 65536  # lets the app refuse with its result code
 EXIT_OK: Final = 0
 EXIT_BAD_SETTINGS: Final = 2
 EXIT_CANNOT_LISTEN: Final = 3
@@ -42,12 +42,12 @@
     strict_invariants: bool = False,
     dial: Dialer = asyncio.open_connection,
 ) -> AsyncIterator[Daemon]:
-    """Runs a daemon until the context ends; the end is not graceful.
+    """Runs a daemon until the context ends, without a graceful stop.
 
     Args:
-        settings: Checked settings.
-        connector: Makes the connector of outgoing HTTP connections.
-        strict_invariants: Raise when an invariant does not hold.
+        settings: Validated settings.
+        connector: Creates the connector of outgoing HTTP connections.
+        strict_invariants: Whether an invariant violation raises an error.
         dial: Opens the connections to peers.
 
     Yields:
@@ -73,7 +73,7 @@
                 daemon.operator_app.build(),
                 host=settings.operators.host,
                 port=settings.operators.port,
-            ) as daemon.operators,
+            ) as daemon.operator_server,
             open_http_server(
                 daemon.in_flight,
                 host=settings.callers.host,
@@ -81,15 +81,15 @@
                 max_header_bytes=(
                     settings.callers.max_header_bytes + HEADER_MARGIN_BYTES
                 ),
-            ) as daemon.callers,
+            ) as daemon.caller_server,
         ):
             daemon.member.port = daemon.peer_server.port
             daemon.start()
             log_event(
                 EventId.DAEMON_STARTED,
                 member=daemon.member.id,
-                callers=daemon.callers.url,
-                operators=daemon.operators.url,
+                callers=daemon.caller_server.url,
+                operators=daemon.operator_server.url,
                 peers=f"{daemon.member.host}:{daemon.member.port}",
             )
             try:
--- a/src/auburnswitch/daemon/status.py
+++ b/src/auburnswitch/daemon/status.py
@@ -1,4 +1,4 @@
-"""What operators see of one daemon."""
+"""Reports the status of one daemon to operators."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class DaemonStatus:
-    """Reads the parts of a daemon that operators ask about.
+    """Collects the status of a daemon from its components.
 
     Attributes:
-        member: This daemon.
+        member: Member record of this daemon.
         get_admission_refusal: Returns why new work is refused, or None.
         state: The configuration in force.
-        invariants: Broken promises.
-        view: The members.
+        invariants: Counts invariant violations.
+        view: The roster and the live members.
         endpoint_manager: The owned endpoints.
-        in_flight: Requests under way.
-        watcher: Tells whether the store answers.
-        store: Counts its calls.
+        in_flight: Counts requests in flight.
+        watcher: Reports whether the store is available.
+        store: Counts the calls to the store.
     """
 
     __slots__ = (
@@ -69,22 +69,25 @@
         self.store = store
 
     def in_force(self, ticket: Ticket) -> tuple[list[str], list[str]]:
-        """Returns the daemons in which a ticket is in force, or is not yet.
+        """Returns the daemons that have applied a ticket, and the others.
 
-        A peer counts once it is known to have the same state as this daemon.
+        A peer has applied it if this daemon has and the peer last reported the
+        same state digest.
         """
         digest = self.state.digest
-        joined = self.state.has_joined(ticket)
+        is_applied = self.state.has_joined(ticket)
         in_force: list[str] = []
         pending: list[str] = []
         for member_id in self.view.live_ids():
             peer = self.view.peers.get(member_id)
-            same = peer is None or peer.state_digest == digest
-            (in_force if joined and same else pending).append(member_id)
+            has_same_state = peer is None or peer.state_digest == digest
+            (in_force if is_applied and has_same_state else pending).append(
+                member_id
+            )
         return in_force, pending
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the status as JSON types."""
+        """Returns the status as a JSON-serializable dict."""
         refused = self.get_admission_refusal()
         violations = self.invariants.violations
         return {
--- a/src/auburnswitch/experiments/fleet.py
+++ b/src/auburnswitch/experiments/fleet.py
@@ -242,7 +242,7 @@
             RuntimeError: The daemon refused it.
         """
         daemon = self.daemons[instance or next(iter(self.daemons))]
-        url = f"{_url(daemon.operators)}/tickets"
+        url = f"{_url(daemon.operator_server)}/tickets"
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         async with self.session.post(
             url, json=to_json(ticket), headers=headers
@@ -314,7 +314,7 @@
 
     def caller_url(self, instance: str) -> str:
         """Returns the base URL for callers of a daemon."""
-        return _url(self.daemons[instance].callers)
+        return _url(self.daemons[instance].caller_server)
 
 
 def _url(server: Any) -> str:
--- a/src/auburnswitch/experiments/running_daemon.py
+++ b/src/auburnswitch/experiments/running_daemon.py
@@ -73,7 +73,7 @@
 
 
 def _abort(daemon: Daemon) -> None:
-    for server in (daemon.callers, daemon.operators):
+    for server in (daemon.caller_server, daemon.operator_server):
         if server is not None:
             server.abort()
 
--- a/src/auburnswitch/operators/__init__.py
+++ b/src/auburnswitch/operators/__init__.py
@@ -1,3 +1,3 @@
-"""Serves operators: tickets, status, audit."""
+"""HTTP interface for operators: tickets, status and audit trail."""
 
 from __future__ import annotations
--- a/src/auburnswitch/operators/app.py
+++ b/src/auburnswitch/operators/app.py
@@ -35,13 +35,15 @@
     """Serves tickets, status, health and metrics.
 
     Attributes:
-        keys: Operator keys; without any, no call that needs one is taken.
+        keys: Operator keys; if there are none, calls that need one are refused.
         tickets: Accepts and reads tickets.
-        endpoint_manager: What is known of the endpoints.
+        endpoint_manager: Provides the endpoints' owners and latest hints.
+        metrics: The metrics to export.
+        clock: Provides the acceptance time of tickets.
         get_admission_refusal: Returns why new work is refused, or None.
-        status: Returns the daemon's status as JSON.
-        in_force: Returns the daemons in which a ticket is in force, and
-            those in which it is not.
+        status: Returns the daemon's status as a JSON-serializable dict.
+        in_force: Returns the daemons that have applied a ticket, and those
+            that have not.
     """
 
     __slots__ = (
@@ -101,7 +103,7 @@
         refused = self.get_admission_refusal()
         if refused is None:
             return PlainTextResponse("ready\n")
-        return _refused(refused)
+        return _refusal_response(refused)
 
     async def _metrics(self, _: Request) -> Response:
         return Response(
@@ -114,12 +116,12 @@
 
     async def _endpoints(self, request: Request) -> Response:
         self._check_key(request)
-        table = self.endpoint_manager
+        endpoint_manager = self.endpoint_manager
         rows = []
-        for name, spec in sorted(table.state.endpoints.items()):
-            hint = to_json(table.latest_hint(name))
+        for name, spec in sorted(endpoint_manager.state.endpoints.items()):
+            hint = to_json(endpoint_manager.latest_hint(name))
             row = {"service": spec.service, "zone": spec.zone, **hint}
-            rows.append(row | {"owner": table.owner_of(name)})
+            rows.append(row | {"owner": endpoint_manager.owner_of(name)})
         return JSONResponse({"endpoints": rows})
 
     async def _apply_ticket(self, request: Request) -> Response:
@@ -138,7 +140,7 @@
                 body = {"ticket": to_json(stored), "warnings": report.warnings}
                 return JSONResponse(body)
             case Result(error=refused):
-                return _refused(refused)
+                return _refusal_response(refused)
 
     async def _list_tickets(self, request: Request) -> Response:
         self._check_key(request)
@@ -147,7 +149,7 @@
                 body = [to_json(ticket) for ticket in tickets]
                 return JSONResponse({"tickets": body})
             case Result(error=refused):
-                return _refused(refused)
+                return _refusal_response(refused)
 
     async def _show_ticket(self, request: Request) -> Response:
         self._check_key(request)
@@ -155,7 +157,7 @@
             case Result(tag="ok", ok=ticket):
                 return JSONResponse({"ticket": to_json(ticket)})
             case Result(error=refused):
-                return _refused(refused)
+                return _refusal_response(refused)
 
     async def _show_in_force(self, request: Request) -> Response:
         self._check_key(request)
@@ -171,7 +173,7 @@
                     }
                 )
             case Result(error=refused):
-                return _refused(refused)
+                return _refusal_response(refused)
 
     async def _audit(self, request: Request) -> Response:
         self._check_key(request)
@@ -182,23 +184,23 @@
             since = math.nan
         if math.isnan(since):
             message = "since: must be seconds since the epoch"
-            return _refused(refusal(ResultCode.BAD_FIELD, message))
-        wanted = AuditFilter(
+            return _refusal_response(refusal(ResultCode.BAD_FIELD, message))
+        audit_filter = AuditFilter(
             object=query.get("object", ""),
             author=query.get("author", ""),
             since=since,
         )
         match await self.tickets.list():
             case Result(tag="ok", ok=tickets):
-                entries = list(audit_entries(tickets, wanted))
+                entries = list(audit_entries(tickets, audit_filter))
                 return JSONResponse({"entries": entries})
             case Result(error=refused):
-                return _refused(refused)
+                return _refusal_response(refused)
 
     def _invalid(self, errors: list[str]) -> Response:
         log_event(EventId.TICKET_REFUSED, reason="; ".join(errors))
         message = "; ".join(errors)
-        return _refused(refusal(ResultCode.TICKET_INVALID, message))
+        return _refusal_response(refusal(ResultCode.TICKET_INVALID, message))
 
     def _check_key(self, request: Request) -> str:
         header = request.headers.get("authorization", "")
@@ -209,10 +211,10 @@
 
     async def _on_refusal(self, _: Request, error: Exception) -> Response:
         assert isinstance(error, RefusalError)
-        return _refused(error.refusal)
+        return _refusal_response(error.refusal)
 
 
-def _refused(refused: Refusal) -> Response:
+def _refusal_response(refused: Refusal) -> Response:
     return JSONResponse(
         refused.to_json(),
         status_code=refused.http_status,
--- a/src/auburnswitch/operators/audit.py
+++ b/src/auburnswitch/operators/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: what each accepted ticket changed."""
+"""The audit trail: the changes made by each accepted ticket."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class AuditFilter:
-    """Which changes are wanted; an empty field wants all.
+    """Selects changes; a field with its default value matches all.
 
     Attributes:
-        object: Kind and name, such as ``endpoint/e1``, or a name.
-        author: Author of the ticket, or operator whose key it came with.
-        since: Wall-clock time of the oldest acceptance, in seconds.
+        object: Kind and name, such as ``endpoint/e1``, or only the name.
+        author: Author of the ticket, or operator whose key submitted it.
+        since: Earliest acceptance time, in seconds since the epoch.
     """
 
     object: str = ""
@@ -30,7 +30,7 @@
     since: float = -math.inf
 
     def matches_ticket(self, ticket: Ticket) -> bool:
-        """Tells whether changes of a ticket are wanted."""
+        """Returns whether a ticket matches ``author`` and ``since``."""
         if ticket.accepted_at < self.since:
             return False
         return not self.author or self.author in (
@@ -39,7 +39,7 @@
         )
 
     def matches_change(self, change: Change) -> bool:
-        """Tells whether a change is wanted."""
+        """Returns whether a change matches ``object``."""
         return self.object in ("", change.name, object_name(change))
 
 
@@ -49,12 +49,12 @@
 
 
 def audit_entries(
-    tickets: Iterable[Ticket], wanted: AuditFilter
+    tickets: Iterable[Ticket], audit_filter: AuditFilter
 ) -> Iterator[dict[str, Any]]:
-    """Yields who changed what and when, with the object before and after."""
-    for ticket in filter(wanted.matches_ticket, tickets):
+    """Yields an entry for each matching change, with old and new object."""
+    for ticket in filter(audit_filter.matches_ticket, tickets):
         before = {object_name(e.change): e for e in ticket.before}
-        for change in filter(wanted.matches_change, ticket.changes):
+        for change in filter(audit_filter.matches_change, ticket.changes):
             name = object_name(change)
             yield {
                 "number": ticket.number,
--- a/src/auburnswitch/operators/keys.py
+++ b/src/auburnswitch/operators/keys.py
@@ -1,4 +1,4 @@
-"""Operator keys and whose they are."""
+"""Identifies operators by their keys."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class OperatorKeys:
     """The keys of a key file, one on each line, as ``name:key``.
 
-    A line without a colon is a key without a name.
+    A line without a colon is the key of the default operator name.
 
     Attributes:
         keys: Key by operator name.
@@ -24,22 +24,23 @@
         for line in text.splitlines():
             name, colon, key = line.strip().rpartition(b":")
             if key:
-                given = name.decode("utf-8", "replace").strip()
-                self.keys[given if colon else DEFAULT_OPERATOR_NAME] = (
+                decoded_name = name.decode("utf-8", "replace").strip()
+                self.keys[decoded_name if colon else DEFAULT_OPERATOR_NAME] = (
                     key.strip()
                 )
 
     def find_operator(self, authorization: str) -> str | None:
-        """Returns the operator whose bearer key a header has, if any.
+        """Returns the operator whose bearer key is in the header, if any.
 
-        Every key is compared, so that the time taken tells nothing.
+        Every key is compared, so that the duration does not reveal anything
+        about the keys.
         """
-        scheme, _, given = authorization.partition(" ")
-        found = None
+        scheme, _, bearer_key = authorization.partition(" ")
+        operator = None
         for name, key in self.keys.items():
-            if hmac.compare_digest(given.strip().encode(), key):
-                found = name
-        return found if scheme.lower() == "bearer" else None
+            if hmac.compare_digest(bearer_key.strip().encode(), key):
+                operator = name
+        return operator if scheme.lower() == "bearer" else None
 
 
 __all__ = ["DEFAULT_OPERATOR_NAME", "OperatorKeys"]
--- a/src/auburnswitch/operators/ticket_file.py
+++ b/src/auburnswitch/operators/ticket_file.py
@@ -1,4 +1,4 @@
-"""Reads change tickets written in TOML."""
+"""Parses change tickets in TOML format."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 def parse_ticket(text: str) -> Ticket:
-    """Reads a ticket from TOML text.
+    """Parses a ticket from TOML text.
 
     Raises:
-        SchemaError: The text is not a ticket; the error names the place.
+        SchemaError: The text is not a valid ticket; the error gives the path
+            of the invalid field.
     """
     try:
         data = tomllib.loads(text)
@@ -29,22 +30,22 @@
         raise SchemaError("", f"not valid TOML: {error}") from error
     head = {name: data.pop(name) for name in _HEAD if name in data}
     changes: list[dict[str, Any]] = []
-    for table, objects in data.items():
-        if table not in _TABLES:
-            raise SchemaError(table, "unknown field")
+    for table_name, objects in data.items():
+        if table_name not in _TABLES:
+            raise SchemaError(table_name, "unknown field")
         if not isinstance(objects, dict):
-            raise SchemaError(table, "must be a table")
+            raise SchemaError(table_name, "must be a table")
         changes += [
-            _change(table, name, value) for name, value in objects.items()
+            _change(table_name, name, value) for name, value in objects.items()
         ]
     return from_json(Ticket, head | {"changes": changes})
 
 
-def _change(table: str, name: str, value: Any) -> dict[str, Any]:
-    kind, field = _TABLES[table]
+def _change(table_name: str, name: str, value: Any) -> dict[str, Any]:
+    kind, field = _TABLES[table_name]
     change = {"kind": kind, "name": name}
     if not isinstance(value, dict):
-        raise SchemaError(f"{table}.{name}", "must be a table")
+        raise SchemaError(f"{table_name}.{name}", "must be a table")
     if value == {"deleted": True}:
         return change | {"deleted": True}
     return change | {field: value}
--- a/src/auburnswitch/operators/ticket_validation.py
+++ b/src/auburnswitch/operators/ticket_validation.py
@@ -1,4 +1,4 @@
-"""Checks a change ticket as a whole before it is accepted."""
+"""Validates a change ticket before it is accepted."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class TicketValidationReport:
-    """What a check found.
+    """Errors and warnings found in a ticket.
 
     Attributes:
         errors: Reasons to refuse the ticket.
-        warnings: What the operator should know.
+        warnings: Possible problems that do not prevent acceptance.
     """
 
     errors: list[str] = field(default_factory=list)
@@ -42,21 +42,21 @@
 def validate_ticket(
     ticket: Ticket, state: ConfigState
 ) -> TicketValidationReport:
-    """Checks a ticket against itself and the state it would make."""
+    """Validates a ticket and the configuration state that results from it."""
     report = TicketValidationReport()
     report.errors += _check_head(ticket)
-    seen: set[tuple[int, str]] = set()
+    seen_objects: set[tuple[int, str]] = set()
     for change in ticket.changes:
         label = _label(change)
-        if (change.kind, change.name) in seen:
+        if (change.kind, change.name) in seen_objects:
             report.errors.append(f"{label}: appears twice")
-        seen.add((change.kind, change.name))
+        seen_objects.add((change.kind, change.name))
         report.errors += [f"{label}: {e}" for e in _check_change(change)]
-    after = ConfigState()
-    after.join_snapshot(state.snapshot())
-    after.join_ticket(ticket)
-    report.errors += _check_references(ticket, state, after)
-    report.warnings += _find_warnings(ticket, state, after)
+    new_state = ConfigState()
+    new_state.join_snapshot(state.snapshot())
+    new_state.join_ticket(ticket)
+    report.errors += _check_references(ticket, state, new_state)
+    report.warnings += _find_warnings(ticket, state, new_state)
     return report
 
 
@@ -79,9 +79,9 @@
     if "/" in change.name or not change.name.isprintable():
         yield "a name must be printable and have no slash"
     values = [change.team, change.zone, change.service, change.endpoint]
-    given = [value for value in values if value is not None]
+    present_values = [value for value in values if value is not None]
     if change.deleted:
-        if given:
+        if present_values:
             yield "a deleted object has no value"
         return
     match change:
@@ -95,7 +95,7 @@
             yield from _check_endpoint(endpoint)
         case _:
             yield "must have the value of its kind"
-    if len(given) > 1:
+    if len(present_values) > 1:
         yield "must have one value only"
 
 
@@ -103,7 +103,7 @@
     for digest in team.key_digests:
         if len(digest) != _DIGEST_LENGTH or not _is_hexadecimal(digest):
             yield "key_digests: must be SHA-256 digests in hexadecimal"
-    yield from _not_negative(
+    yield from _check_not_negative(
         team, "tokens_per_second", "burst_tokens", "max_in_flight"
     )
     if not (math.isfinite(team.weight) and team.weight > 0):
@@ -135,12 +135,12 @@
     ):
         if getattr(endpoint, name) < 1:
             yield f"{name}: must be at least 1"
-    yield from _not_negative(endpoint, "warm_after")
+    yield from _check_not_negative(endpoint, "warm_after")
     if not 0 < endpoint.long_share <= 1:
         yield "long_share: must be above 0 and at most 1"
 
 
-def _not_negative(value: Team | Endpoint, *names: str) -> Iterator[str]:
+def _check_not_negative(value: Team | Endpoint, *names: str) -> Iterator[str]:
     for name in names:
         amount = getattr(value, name)
         if not (math.isfinite(amount) and amount >= 0):
@@ -152,25 +152,27 @@
 
 
 def _check_references(
-    ticket: Ticket, before: ConfigState, after: ConfigState
+    ticket: Ticket, old_state: ConfigState, new_state: ConfigState
 ) -> Iterator[str]:
-    """Finds the references that this ticket breaks.
+    """Yields an error for each reference that this ticket breaks.
 
-    What a race of two tickets has broken does not keep a third from being
-    accepted.
+    References that two concurrent tickets have already broken do not block
+    other tickets.
     """
     changed = {(c.kind, c.name) for c in ticket.changes}
-    for name, reason in after.dangling_endpoints.items():
-        touched = (ObjectKind.ENDPOINT, name) in changed
-        if touched or name not in before.dangling_endpoints:
+    for name, reason in new_state.dangling_endpoints.items():
+        is_changed = (ObjectKind.ENDPOINT, name) in changed
+        if is_changed or name not in old_state.dangling_endpoints:
             yield f"endpoint {name!r}: {reason}"
-    for name, service in after.services.items():
-        touched = (ObjectKind.SERVICE, name) in changed
+    for name, service in new_state.services.items():
+        is_changed = (ObjectKind.SERVICE, name) in changed
         for team in service.teams:
-            if team not in after.teams and (touched or team in before.teams):
+            if team not in new_state.teams and (
+                is_changed or team in old_state.teams
+            ):
                 yield f"service {name!r}: unknown team {team!r}"
     owners: dict[str, str] = {}
-    for name, team in after.teams.items():
+    for name, team in new_state.teams.items():
         for digest in team.key_digests:
             other = owners.setdefault(digest, name)
             if other != name and (ObjectKind.TEAM, name) in changed:
@@ -178,23 +180,26 @@
 
 
 def _find_warnings(
-    ticket: Ticket, before: ConfigState, after: ConfigState
+    ticket: Ticket, old_state: ConfigState, new_state: ConfigState
 ) -> Iterator[str]:
-    for name, reason in after.dangling_endpoints.items():
+    for name, reason in new_state.dangling_endpoints.items():
         yield f"endpoint {name!r} is left out: {reason}"
-    for name in after.services:
-        if not after.endpoints_of(name):
+    for name in new_state.services:
+        if not new_state.endpoints_of(name):
             yield f"service {name!r} has no endpoint"
-        elif all(_is_out(after, e) for e in after.endpoints_of(name)):
+        elif all(
+            _is_out_of_service(new_state, e)
+            for e in new_state.endpoints_of(name)
+        ):
             yield f"service {name!r} has no endpoint in service"
     for change in ticket.changes:
         key = (ObjectKind(change.kind), change.name)
-        known = before.entries.get(key)
-        if known is not None and known.number > ticket.number:
-            yield f"{_label(change)} is superseded by ticket {known.number}"
+        current = old_state.entries.get(key)
+        if current is not None and current.number > ticket.number:
+            yield f"{_label(change)} is superseded by ticket {current.number}"
 
 
-def _is_out(state: ConfigState, endpoint_name: str) -> bool:
+def _is_out_of_service(state: ConfigState, endpoint_name: str) -> bool:
     endpoint = state.endpoints[endpoint_name]
     zone = state.zones.get(endpoint.zone)
     return endpoint.leaving or zone is None or zone.out
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Tests that bad input gets its numbered code and changes nothing."""
+"""Tests that invalid input is refused with its code, without side effects."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from auburnswitch.schema.results import ResultCode
 from tests.virtual_time import SimulatedConnector, run_virtual
 
-KEY = {"Authorization": f"Bearer {CALLER_KEY}"}
-OPERATOR = {"Authorization": f"Bearer {OPERATOR_KEY}"}
-GOOD = {"model": MODEL, "prompt": "hello"}
-ANSWER_WITHIN_S = 5
+CALLER_HEADERS = {"Authorization": f"Bearer {CALLER_KEY}"}
+OPERATOR_HEADERS = {"Authorization": f"Bearer {OPERATOR_KEY}"}
+VALID_BODY = {"model": MODEL, "prompt": "hello"}
+ANSWER_TIMEOUT_S = 5
 
 
 def customize_settings(settings):
@@ -30,7 +30,7 @@
 
 class BadInputTest(unittest.TestCase):
     def send(self, calls, *, operators: bool = False):
-        """Sends calls and returns status, code and ran of each answer."""
+        """Sends requests; returns status, code and ``ran`` of each answer."""
 
         async def scenario():
             options = FleetOptions(
@@ -42,11 +42,15 @@
             async with open_fleet(options) as fleet:
                 daemon = fleet.daemons["entry-0"]
                 digest = daemon.state.digest
-                server = daemon.operators if operators else daemon.callers
+                server = (
+                    daemon.operator_server
+                    if operators
+                    else daemon.caller_server
+                )
                 answers = []
                 for method, path, call in calls:
                     async with (
-                        asyncio.timeout(ANSWER_WITHIN_S),
+                        asyncio.timeout(ANSWER_TIMEOUT_S),
                         fleet.session.request(
                             method, server.url + path, **call
                         ) as response,
@@ -79,16 +83,16 @@
         plain = f"/services/{PLAIN_SERVICE}/bookings"
 
         def post(path, status, code, *, headers=None, **call):
-            headers = KEY | (headers or {})
+            headers = CALLER_HEADERS | (headers or {})
             return ("POST", path, {"headers": headers, **call}, status, code)
 
-        def field(body, *, path=path):
+        def bad_field(body, *, path=path):
             return post(path, 400, ResultCode.BAD_FIELD, json=body)
 
-        def deadline(value):
+        def bad_deadline(value):
             headers = {"X-Deadline-Seconds": value}
             code = ResultCode.BAD_DEADLINE
-            return post(path, 400, code, headers=headers, json=GOOD)
+            return post(path, 400, code, headers=headers, json=VALID_BODY)
 
         self.check(
             [
@@ -96,23 +100,23 @@
                 post(path, 400, ResultCode.BAD_JSON, data=b'{"model": '),
                 post(path, 400, ResultCode.BAD_JSON, data=b"\xff\xfe"),
                 post(path, 400, ResultCode.BAD_JSON, data=b"[" * 9_000),
-                field([1, 2]),
-                field({"model": MODEL}),
-                field({"model": 7, "prompt": "x"}),
-                field({"model": MODEL, "prompt": ""}),
-                field(GOOD | {"max_tokens": "9"}),
-                field(GOOD | {"max_tokens": 0}),
-                field(GOOD | {"max_tokens": True}),
-                field({"model": MODEL, "messages": []}, path=chat),
-                field({"model": MODEL, "messages": [3]}, path=chat),
-                field(
+                bad_field([1, 2]),
+                bad_field({"model": MODEL}),
+                bad_field({"model": 7, "prompt": "x"}),
+                bad_field({"model": MODEL, "prompt": ""}),
+                bad_field(VALID_BODY | {"max_tokens": "9"}),
+                bad_field(VALID_BODY | {"max_tokens": 0}),
+                bad_field(VALID_BODY | {"max_tokens": True}),
+                bad_field({"model": MODEL, "messages": []}, path=chat),
+                bad_field({"model": MODEL, "messages": [3]}, path=chat),
+                bad_field(
                     {"model": MODEL, "messages": [{"content": 1}]}, path=chat
                 ),
                 post(
                     path,
                     404,
                     ResultCode.UNKNOWN_MODEL,
-                    json=GOOD | {"model": "x"},
+                    json=VALID_BODY | {"model": "x"},
                 ),
                 post("/services/none/x", 404, ResultCode.UNKNOWN_SERVICE),
                 post(f"/services/{MODEL}/x", 404, ResultCode.UNKNOWN_SERVICE),
@@ -120,22 +124,22 @@
                 (
                     "GET",
                     path,
-                    {"headers": KEY},
+                    {"headers": CALLER_HEADERS},
                     405,
                     ResultCode.BAD_METHOD,
                 ),
-                deadline("soon"),
-                deadline("0"),
-                deadline("-1"),
-                deadline("nan"),
-                deadline("inf"),
-                deadline("99999999"),
+                bad_deadline("soon"),
+                bad_deadline("0"),
+                bad_deadline("-1"),
+                bad_deadline("nan"),
+                bad_deadline("inf"),
+                bad_deadline("99999999"),
                 post(
                     path,
                     431,
                     ResultCode.HEADER_TOO_LARGE,
                     headers={"X-Large": "x" * 5_000},
-                    json=GOOD,
+                    json=VALID_BODY,
                 ),
                 post(
                     plain,
@@ -156,10 +160,16 @@
         path = "/v1/completions"
         self.check(
             [
-                ("POST", path, {"headers": headers, "json": GOOD}, 401, code)
+                (
+                    "POST",
+                    path,
+                    {"headers": headers, "json": VALID_BODY},
+                    401,
+                    code,
+                )
                 for headers, code in [
                     ({}, ResultCode.BAD_CALLER_KEY),
-                    (OPERATOR, ResultCode.BAD_CALLER_KEY),
+                    (OPERATOR_HEADERS, ResultCode.BAD_CALLER_KEY),
                     ({"Authorization": "Bearer "}, ResultCode.BAD_CALLER_KEY),
                     (
                         {"Authorization": f"Basic {CALLER_KEY}"},
@@ -172,7 +182,7 @@
     def test_operators(self):
         invalid = ResultCode.TICKET_INVALID
 
-        def post(body, status=400, code=invalid, headers=OPERATOR):
+        def post(body, status=400, code=invalid, headers=OPERATOR_HEADERS):
             call = {"headers": headers, "data": body}
             return ("POST", "/tickets", call, status, code)
 
@@ -181,14 +191,14 @@
             return post(json.dumps(body))
 
         def endpoint(**values):
-            good = {
+            valid = {
                 "service": MODEL,
                 "zone": "sejong-1",
                 "host": "127.0.0.1",
                 "port": 1,
             }
             return ticket(
-                {"kind": "endpoint", "name": "e", "endpoint": good | values}
+                {"kind": "endpoint", "name": "e", "endpoint": valid | values}
             )
 
         self.check(
@@ -196,7 +206,12 @@
                 post("{"),
                 post("[]"),
                 post('{"number": 1}'),
-                post("{}", 401, ResultCode.BAD_OPERATOR_KEY, headers=KEY),
+                post(
+                    "{}",
+                    401,
+                    ResultCode.BAD_OPERATOR_KEY,
+                    headers=CALLER_HEADERS,
+                ),
                 post("{}", 401, ResultCode.BAD_OPERATOR_KEY, headers={}),
                 ticket(number=0),
                 ticket({"kind": "team", "name": "a", "team": {}}, number=-1),
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of answer streams that break, stall or lose their caller."""
+"""Tests of answer streams that break or stall, or whose caller disconnects."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 HEADERS = {"Authorization": f"Bearer {CALLER_KEY}"}
 PROMPT = "one more question about the season " * 30
-TOKENS = 200
+ANSWER_TOKENS = 200
 PREFILL_BYTES = 240_000  # 3 s of prefill
-FREED_WITHIN_S = 5
+CLEANUP_TIMEOUT_S = 5
 
 
 def customize_settings(settings):
@@ -54,7 +54,9 @@
         yield fleet
 
 
-async def complete(fleet: Fleet, *, tokens: int = TOKENS, deadline_s=60.0):
+async def complete(
+    fleet: Fleet, *, tokens: int = ANSWER_TOKENS, deadline_s=60.0
+):
     return await stream_completion(
         fleet.session,
         fleet.caller_url("entry-0"),
@@ -67,7 +69,7 @@
     return next(e for e in fleet.engines.values() if e.batch.jobs())
 
 
-def started(fleet: Fleet) -> int:
+def count_started(fleet: Fleet) -> int:
     return len(list(fleet.history.select(HistoryKind.REQUEST_STARTED)))
 
 
@@ -79,22 +81,27 @@
     return [len(d.reservations.held) for d in fleet.daemons.values()]
 
 
-def expected() -> str:
-    return answer_text(prompt_digest(PROMPT), TOKENS)
+def expected_answer() -> str:
+    return answer_text(prompt_digest(PROMPT), ANSWER_TOKENS)
 
 
 class StreamTest(unittest.TestCase):
     def run_fault(self, fault, **options):
-        """Completes a request while a fault befalls its engine."""
+        """Completes a request and injects a fault into its engine meanwhile.
+
+        Returns:
+            The outcome, and the number of times that an engine started the
+            request.
+        """
 
         async def scenario():
             async with open_warm_fleet() as fleet:
-                before = started(fleet)
+                before = count_started(fleet)
                 task = asyncio.create_task(complete(fleet, **options))
                 await asyncio.sleep(2)
                 await fault(fleet, running_engine(fleet))
                 outcome = await task
-                return outcome, started(fleet) - before
+                return outcome, count_started(fleet) - before
 
         return run_virtual(scenario)
 
@@ -104,13 +111,13 @@
 
         outcome, runs = self.run_fault(fault)
         self.assertEqual((outcome.result, runs), ("ok", 1))
-        self.assertEqual(outcome.text, expected())
-        self.assertEqual(outcome.tokens, TOKENS)
+        self.assertEqual(outcome.text, expected_answer())
+        self.assertEqual(outcome.tokens, ANSWER_TOKENS)
 
-    def test_connection_dropped_in_the_prefill_is_resumed(self):
+    def test_connection_dropped_during_prefill_is_resumed(self):
         async def scenario():
             async with open_warm_fleet() as fleet:
-                before = started(fleet)
+                before = count_started(fleet)
                 body = {
                     "model": MODEL,
                     "prompt": "x" * PREFILL_BYTES,
@@ -123,7 +130,7 @@
                 await asyncio.sleep(1)
                 for engine in fleet.engines.values():
                     engine.drop_connections()
-                return (await task).result, started(fleet) - before
+                return (await task).result, count_started(fleet) - before
 
         self.assertEqual(run_virtual(scenario), ("ok", 1))
 
@@ -133,16 +140,16 @@
 
         outcome, runs = self.run_fault(fault)
         self.assertEqual((outcome.result, runs), ("ok", 2))
-        self.assertEqual(outcome.text, expected())
-        self.assertEqual(outcome.tokens, TOKENS)
+        self.assertEqual(outcome.text, expected_answer())
+        self.assertEqual(outcome.tokens, ANSWER_TOKENS)
 
-    def test_stalled_engine_is_left(self):
+    def test_stalled_answer_is_continued_elsewhere(self):
         async def fault(_, engine):
             engine.freeze(40)
 
         outcome, _ = self.run_fault(fault)
         self.assertEqual(outcome.result, "ok")
-        self.assertEqual(outcome.text, expected())
+        self.assertEqual(outcome.text, expected_answer())
 
     def test_no_continuation_ends_with_an_error(self):
         async def fault(fleet, engine):
@@ -156,13 +163,17 @@
             await asyncio.sleep(2)
             for each in fleet.engines.values():
                 each.crash()
-            self.late = await task
+            self.crash_outcome = await task
 
         self.run_fault(fault)
         self.assertEqual(
-            (self.late.result, self.late.ran), ("stream_broken", "yes")
+            (
+                self.crash_outcome.result,
+                self.crash_outcome.ran,
+            ),
+            ("stream_broken", "yes"),
         )
-        self.assertTrue(expected().startswith(self.late.text))
+        self.assertTrue(expected_answer().startswith(self.crash_outcome.text))
 
     def test_deadline_is_final(self):
         async def fault(_, __):
@@ -175,14 +186,14 @@
 
 
 class CallerTest(unittest.TestCase):
-    def test_caller_gone_frees_the_engine(self):
+    def test_disconnected_caller_frees_the_engine(self):
         async def scenario():
             async with open_warm_fleet() as fleet:
                 task = asyncio.create_task(complete(fleet))
                 await asyncio.sleep(2)
                 engine = running_engine(fleet)
                 task.cancel()
-                await asyncio.sleep(FREED_WITHIN_S)
+                await asyncio.sleep(CLEANUP_TIMEOUT_S)
                 held = [
                     len(d.reservations.held) for d in fleet.daemons.values()
                 ]
@@ -190,7 +201,7 @@
 
         self.assertEqual(run_virtual(scenario), (0, [0, 0]))
 
-    def test_slow_caller_is_bounded(self):
+    def test_slow_caller_frees_the_engine(self):
         async def scenario():
             async with open_warm_fleet() as fleet:
                 body = {"model": MODEL, "prompt": PROMPT, "max_tokens": 40_000}
@@ -199,7 +210,7 @@
                     json=body | {"stream": True},
                     headers=HEADERS | {"X-Deadline-Seconds": "7000"},
                 )
-                await asyncio.sleep(400)  # never reads
+                await asyncio.sleep(400)  # the caller never reads
                 running = count_running(fleet)
                 held = [
                     len(d.reservations.held) for d in fleet.daemons.values()
@@ -221,7 +232,7 @@
 
 
 class ConnectionTest(unittest.TestCase):
-    def test_connections_to_engines_are_kept(self):
+    def test_connections_to_engines_are_reused(self):
         async def scenario():
             async with open_warm_fleet(CountingConnector) as fleet:
                 await asyncio.sleep(5)
@@ -231,4 +242,4 @@
                     self.assertEqual(outcome.result, "ok")
                 return CountingConnector.opened - before
 
-        self.assertLess(run_virtual(scenario), 3)  # not one a request
+        self.assertLess(run_virtual(scenario), 3)  # fewer than one per request
--- a/tests/daemon/test_run.py
+++ b/tests/daemon/test_run.py
@@ -1,4 +1,4 @@
-"""Tests of the daemon's exit codes and of the lines it prints."""
+"""Tests of the daemon's exit codes and error output."""
 
 from __future__ import annotations
 
@@ -46,14 +46,16 @@
         return code, errors.getvalue().splitlines()
 
     def test_address_in_use(self):
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            port = taken.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as occupying_socket:
+            port = occupying_socket.getsockname()[1]
             for listener in ("callers", "operators", "peers"):
                 with self.subTest(listener):
                     code, lines = self.run_main(**{listener: port})
                     self.assertEqual(code, EXIT_CANNOT_LISTEN)
-                    said = f"auburnswitchd: cannot listen on 127.0.0.1:{port}"
-                    self.assertIn(said, lines)
+                    expected_line = (
+                        f"auburnswitchd: cannot listen on 127.0.0.1:{port}"
+                    )
+                    self.assertIn(expected_line, lines)
 
     def test_bad_settings(self):
         code, lines = self.run_main(callers=70_000)
--- a/tests/experiments/test_freezable_loop.py
+++ b/tests/experiments/test_freezable_loop.py
@@ -45,7 +45,7 @@
         async def scenario():
             async with open_fleet(OPTIONS) as fleet:
                 daemon = fleet.daemons["entry-1"]
-                url = daemon.operators.url
+                url = daemon.operator_server.url
                 fleet.freeze_daemon(1)
                 frozen_at = monotonic_s()
                 while_frozen = await is_healthy(fleet.session, url)
@@ -84,7 +84,7 @@
     def test_killed_daemon_refuses_connections(self):
         async def scenario():
             async with open_fleet(OPTIONS) as fleet:
-                url = fleet.daemons["entry-2"].operators.url
+                url = fleet.daemons["entry-2"].operator_server.url
                 fleet.kill_daemon(2)
                 with self.assertRaises(aiohttp.ClientConnectionError):
                     await is_healthy(fleet.session, url)
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -27,7 +27,7 @@
                     {"model": MODEL, "prompt": "hello", "max_tokens": 2},
                     {"Authorization": f"Bearer {CALLER_KEY}"},
                 )
-                url = fleet.daemons["entry-0"].operators.url + "/metrics"
+                url = fleet.daemons["entry-0"].operator_server.url + "/metrics"
                 async with fleet.session.get(url) as response:
                     return await response.text()
 
--- a/tests/operators/test_app.py
+++ b/tests/operators/test_app.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' listener."""
+"""Tests of the HTTP interface for operators."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 async def call(fleet, instance: str, path: str, key: str, ticket=None):
-    """Calls a daemon as an operator; returns status and body."""
-    url = fleet.daemons[instance].operators.url + path
+    """Sends an operator request to a daemon and returns status and body."""
+    url = fleet.daemons[instance].operator_server.url + path
     headers = {"Authorization": f"Bearer {key}"}
     method = "POST" if ticket is not None else "GET"
     async with fleet.session.request(
@@ -38,7 +38,7 @@
 
 
 class AuditTest(unittest.TestCase):
-    def test_survives_the_replacement_of_all_daemons(self):
+    def test_audit_trail_survives_replacement_of_all_daemons(self):
         async def scenario():
             async with open_fleet(OPTIONS) as fleet:
                 path = Path(fleet.folder, "operator.key")
@@ -72,18 +72,22 @@
 
         answers = run_virtual(scenario)
         self.assertEqual([status for status, _ in answers], [200] * 3 + [400])
-        every, by_kim, late = [body["entries"] for _, body in answers[:3]]
-        self.assertEqual([e["operator"] for e in every[1:]], ["kim", "rao"])
-        self.assertIsNone(every[0]["before"])
-        last = every[2]
+        all_entries, kim_entries, late_entries = [
+            body["entries"] for _, body in answers[:3]
+        ]
+        self.assertEqual(
+            [e["operator"] for e in all_entries[1:]], ["kim", "rao"]
+        )
+        self.assertIsNone(all_entries[0]["before"])
+        last = all_entries[2]
         self.assertTrue(last["before"]["change"]["zone"]["out"])
-        self.assertEqual(last["before"]["number"], every[1]["number"])
+        self.assertEqual(last["before"]["number"], all_entries[1]["number"])
         self.assertFalse(last["after"]["zone"]["out"])
-        self.assertEqual((by_kim, late), ([every[1]], []))
+        self.assertEqual((kim_entries, late_entries), ([all_entries[1]], []))
 
 
 class InForceTest(unittest.TestCase):
-    def test_names_the_daemons(self):
+    def test_in_force_lists_the_daemons(self):
         async def scenario():
             async with open_fleet(OPTIONS) as fleet:
                 key = "demo-operator-key"
