--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -209,7 +209,7 @@
         caller = self.parser.authenticate(request.headers)
         raw = await self.parser.read_body(request)
         path = _service_path(request)
-        routed = self.parser.parse_plain_request(
+        routed_request = self.parser.parse_plain_request(
             caller,
             request.headers,
             raw,
@@ -224,14 +224,14 @@
             headers=_forwarded_headers(request),
             idempotency_key=self.parser.parse_idempotency_key(request.headers),
         )
-        outcome = await self.plain_router.run(routed, call)
+        outcome = await self.plain_router.run(routed_request, call)
         match outcome:
             case PlainAnswer(status=status, body=body, headers=headers):
-                self._record_result(ResultCode.OK, routed.id)
-                headers = headers | {"X-Request-Id": routed.id}
+                self._record_result(ResultCode.OK, routed_request.id)
+                headers = headers | {"X-Request-Id": routed_request.id}
                 return Response(body, status_code=status, headers=headers)
             case Refusal():
-                return self._refusal_response(outcome, routed.id)
+                return self._refusal_response(outcome, routed_request.id)
 
     def _check_admission(self) -> None:
         refused = self.get_admission_refusal()
--- a/src/auburnswitch/callers/event_stream.py
+++ b/src/auburnswitch/callers/event_stream.py
@@ -48,20 +48,23 @@
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
         """Sends the response as an ASGI application."""
-        sender = asyncio.create_task(self._send_all(send))
-        watcher = asyncio.create_task(_wait_for_disconnect(receive))
+        send_task = asyncio.create_task(self._send_all(send))
+        disconnect_task = asyncio.create_task(_wait_for_disconnect(receive))
         try:
             await asyncio.wait(
-                {sender, watcher}, return_when=asyncio.FIRST_COMPLETED
+                {send_task, disconnect_task},
+                return_when=asyncio.FIRST_COMPLETED,
             )
-            if not sender.done():
+            if not send_task.done():
                 self.on_disconnect()
         finally:
-            watcher.cancel()
-            sender.cancel()
-            await asyncio.gather(sender, watcher, return_exceptions=True)
-        if not sender.cancelled():
-            sender.result()
+            disconnect_task.cancel()
+            send_task.cancel()
+            await asyncio.gather(
+                send_task, disconnect_task, return_exceptions=True
+            )
+        if not send_task.cancelled():
+            send_task.result()
 
     async def _send_all(self, send: Send) -> None:
         async with contextlib.aclosing(self.chunks) as chunks:
--- a/src/auburnswitch/callers/request_parser.py
+++ b/src/auburnswitch/callers/request_parser.py
@@ -31,7 +31,7 @@
 DEADLINE_HEADER: Final = "x-deadline-seconds"
 REQUEST_ID_HEADER: Final = "x-request-id"
 IDEMPOTENCY_HEADER: Final = "idempotency-key"
-MAX_NAME_LENGTH: Final = 128
+MAX_IDENTIFIER_CHARS: Final = 128
 
 
 @dataclass(slots=True, kw_only=True)
@@ -213,7 +213,7 @@
             return ""
         if (
             not key
-            or len(key) > MAX_NAME_LENGTH
+            or len(key) > MAX_IDENTIFIER_CHARS
             or not _is_valid_identifier(key)
         ):
             raise RefusalError(refusal(ResultCode.BAD_IDEMPOTENCY_KEY))
@@ -279,7 +279,7 @@
     caller_request_id = headers.get(REQUEST_ID_HEADER, "")
     if (
         caller_request_id
-        and len(caller_request_id) <= MAX_NAME_LENGTH
+        and len(caller_request_id) <= MAX_IDENTIFIER_CHARS
         and _is_valid_identifier(caller_request_id)
     ):
         return f"{caller_request_id}.{secrets.token_hex(4)}"
--- a/src/auburnswitch/entry/entry_daemon.py
+++ b/src/auburnswitch/entry/entry_daemon.py
@@ -239,8 +239,12 @@
 
     def _count_daemons(self) -> int:
         """Returns the estimated number of daemons, live or not."""
-        known = 1 + len(self.gossip.peers)
-        return known if self.gossip.key else max(known, ASSUMED_DAEMON_COUNT)
+        daemon_count = 1 + len(self.gossip.peers)
+        return (
+            daemon_count
+            if self.gossip.key
+            else max(daemon_count, ASSUMED_DAEMON_COUNT)
+        )
 
     def _is_reader(self) -> bool:
         """Whether this daemon reads the store for itself and its peers."""
@@ -251,6 +255,13 @@
         return self._should_read
 
     def _should_read_store(self) -> bool:
+        """Whether this daemon is an elected reader or has to act as one.
+
+        Readers are elected by rendezvous hashing among the daemons with the
+        fastest links. Other daemons read the store only if they have not joined
+        the fleet in time, if fewer peers than readers are live, or if the
+        latest read of their peers is unknown or too old.
+        """
         if not self.gossip.key:
             return monotonic_s() - self.started_at > PEER_DISCOVERY_S
         readers = self.settings.store.readers
@@ -294,6 +305,7 @@
             message.store_read_age_ms = (monotonic_s() - read_at) * _MS_PER_S
 
     def _list_work(self) -> list[WorkItem]:
+        """Returns this daemon's work with updated remaining times."""
         items = self.fleet_load.items[self.gossip.local_record.instance]
         now = monotonic_s()
         for item in items.values():
@@ -309,6 +321,7 @@
     def _publish_work_change(
         self, started: list[WorkItem], ended: list[int]
     ) -> None:
+        """Sends started and ended work to the cells that it concerns."""
         for item in started:
             to_all_cells = self._concerns_all_cells(item)
             if to_all_cells:
@@ -333,6 +346,7 @@
         )
 
     def _on_gossip(self, peer: GossipPeer, message: Gossip) -> None:
+        """Applies a peer's message to the local state."""
         instance = peer.record.instance
         if message.complete:
             self.fleet_load.replace(instance, message.items)
--- a/src/auburnswitch/operators/ticket_validation.py
+++ b/src/auburnswitch/operators/ticket_validation.py
@@ -22,8 +22,8 @@
     from collections.abc import Iterator
 
 MAX_TICKET_NUMBER: Final = 10**10 - 1
-MAX_NAME_LENGTH: Final = 100
-_DIGEST_LENGTH: Final = 64
+MAX_NAME_CHARS: Final = 100
+_DIGEST_HEX_DIGITS: Final = 64
 
 
 @dataclass(slots=True, kw_only=True)
@@ -74,8 +74,8 @@
 
 
 def _check_change(change: Change) -> Iterator[str]:
-    if not change.name or len(change.name) > MAX_NAME_LENGTH:
-        yield f"a name must have from 1 to {MAX_NAME_LENGTH} characters"
+    if not change.name or len(change.name) > MAX_NAME_CHARS:
+        yield f"a name must have from 1 to {MAX_NAME_CHARS} characters"
     if "/" in change.name or not change.name.isprintable():
         yield "a name must be printable and have no slash"
     values = [change.team, change.zone, change.service, change.endpoint]
@@ -101,7 +101,7 @@
 
 def _check_team(team: Team) -> Iterator[str]:
     for digest in team.key_digests:
-        if len(digest) != _DIGEST_LENGTH or not _is_hexadecimal(digest):
+        if len(digest) != _DIGEST_HEX_DIGITS or not _is_hexadecimal(digest):
             yield "key_digests: must be SHA-256 digests in hexadecimal"
     yield from _check_not_negative(
         team, "tokens_per_second", "burst_tokens", "max_in_flight"
