--- a/src/auburnswitch/cli/client.py
+++ b/src/auburnswitch/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls the operators' listener of a daemon."""
+"""HTTP client of a daemon's operators' listener."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         """Returns the JSON body of a GET call.
 
         Raises:
-            CommandError: The daemon refused it or cannot be reached.
+            CommandError: The daemon refused the call or cannot be reached.
         """
         return await self._call("GET", path, params=query)
 
@@ -49,27 +49,29 @@
         """Returns the JSON body of a POST call.
 
         Raises:
-            CommandError: The daemon refused it or cannot be reached.
+            CommandError: The daemon refused the call or cannot be reached.
         """
         return await self._call("POST", path, json=body)
 
-    async def _call(self, method: str, path: str, **options: Any) -> Any:
+    async def _call(
+        self, method: str, path: str, **request_options: Any
+    ) -> Any:
         headers = {"Authorization": f"Bearer {self.key}"} if self.key else {}
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with (
                 aiohttp.ClientSession(timeout=timeout) as session,
                 session.request(
-                    method, self.url + path, headers=headers, **options
+                    method, self.url + path, headers=headers, **request_options
                 ) as response,
             ):
                 body = await response.json(content_type=None)
         except (aiohttp.ClientError, OSError, ValueError) as error:
             reason = str(error) or type(error).__name__
-            message = f"cannot use {self.url}: {reason}"
+            message = f"call to {self.url} failed: {reason}"
             raise CommandError(message, EXIT_UNREACHABLE) from error
         if response.status >= 400:
-            raise CommandError(_refusal_line(body), EXIT_REFUSED)
+            raise CommandError(_format_refusal(body), EXIT_REFUSED)
         return body
 
 
@@ -86,12 +88,12 @@
         raise CommandError(message, EXIT_USAGE) from error
 
 
-def _refusal_line(body: Any) -> str:
+def _format_refusal(body: Any) -> str:
     try:
         error = body["error"]
         return f"{error['code']} {error['name']}: {error['message']}"
     except (LookupError, TypeError):
-        return f"the daemon gave an unexpected answer: {body!r:.200}"
+        return f"unexpected reply from the daemon: {body!r:.200}"
 
 
 __all__ = ["KEY_FILE_ENV_VAR", "URL_ENV_VAR", "OperatorClient", "read_key"]
--- a/src/auburnswitch/cli/errors.py
+++ b/src/auburnswitch/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors that the command-line tool shows as one line."""
+"""Errors and exit codes of the command-line tool."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CommandError(Exception):
-    """A command failed for a known reason.
+    """A command failed; the message is printed without a traceback.
 
     Attributes:
         exit_code: Exit code of the tool.
--- a/src/auburnswitch/cli/explain.py
+++ b/src/auburnswitch/cli/explain.py
@@ -1,4 +1,4 @@
-"""Tells the story of one request from the logs of several daemons."""
+"""Merges the log events of one request from the logs of several daemons."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_LEFT_OUT: Final = frozenset(
+_OMITTED_FIELDS: Final = frozenset(
     {"time", "level", "message", "event", "event_name", "request", "endpoint"}
 )
 CONTEXT_EVENTS: Final = frozenset(
@@ -27,11 +27,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class LogLine:
-    """One decoded line of a log.
+    """One decoded line of a log file.
 
     Attributes:
         time: Time of day as logged.
-        source: Name of the file it is from.
+        source: Log prefix before the JSON object, or name of the file.
         fields: All fields of the line.
     """
 
@@ -41,58 +41,68 @@
 
 
 def explain(request_id: str, log_files: Iterable[str]) -> int:
-    """Prints what the logs say of a request, and of its endpoints meanwhile.
+    """Prints the log events of a request and of its endpoints meanwhile.
 
     Args:
-        request_id: Id of the request, or its beginning.
+        request_id: Id of the request, or a prefix of the id.
         log_files: Logs of the daemons.
 
     Raises:
-        CommandError: A file cannot be read, or no line names the request.
+        CommandError: A file cannot be read, or no line refers to the request.
     """
     lines = [line for name in log_files for line in read_log(name)]
-    story = find_request_lines(request_id, lines)
-    if not story:
-        raise CommandError(f"no line names request {request_id}", EXIT_USAGE)
-    for line in story:
+    request_lines = find_request_lines(request_id, lines)
+    if not request_lines:
+        raise CommandError(
+            f"no log line refers to request {request_id}", EXIT_USAGE
+        )
+    for line in request_lines:
         print(format_line(line))
     return EXIT_OK
 
 
 def read_log(name: str) -> list[LogLine]:
-    """Returns the structured lines of a file; others are left out."""
+    """Returns the structured lines of a file; other lines are skipped.
+
+    Raises:
+        CommandError: The file cannot be read.
+    """
     try:
         text = Path(name).read_text("utf-8", "replace")
     except OSError as error:
         reason = f"cannot read {name}: {error.strerror}"
         raise CommandError(reason, EXIT_USAGE) from error
-    found = []
+    log_lines = []
     for raw in text.splitlines():
         start = raw.find("{")
         try:
             fields = json.loads(raw[start:]) if start >= 0 else None
         except ValueError:
-            continue  # a line that was cut, or of another program
+            continue  # truncated, or written by another program
         if isinstance(fields, dict) and "event_name" in fields:
             source = raw[:start].strip() or Path(name).stem
             line = LogLine(
                 time=str(fields.get("time", "")), source=source, fields=fields
             )
-            found.append(line)
-    return found
+            log_lines.append(line)
+    return log_lines
 
 
 def find_request_lines(request_id: str, lines: list[LogLine]) -> list[LogLine]:
-    """Returns the lines of a request, with its endpoints' changes meanwhile."""
-    own = [
+    """Returns the lines of a request and the events of its endpoints meanwhile.
+
+    Endpoint events between the first and the last line of the request are
+    included. The lines are sorted by time.
+    """
+    request_lines = [
         line
         for line in lines
         if str(line.fields.get("request", "")).startswith(request_id)
     ]
-    if not own:
+    if not request_lines:
         return []
-    times = [line.time for line in own]
-    endpoints = {line.fields.get("endpoint") for line in own} - {None}
+    times = [line.time for line in request_lines]
+    endpoints = {line.fields.get("endpoint") for line in request_lines} - {None}
     context = [
         line
         for line in lines
@@ -100,16 +110,16 @@
         and line.fields.get("endpoint") in endpoints
         and min(times) <= line.time <= max(times)
     ]
-    return sorted([*own, *context], key=lambda line: line.time)
+    return sorted([*request_lines, *context], key=lambda line: line.time)
 
 
 def format_line(line: LogLine) -> str:
-    """Returns one line of the story."""
+    """Returns a log line as text: time, source, event name and fields."""
     fields = line.fields
     parts = [line.time, line.source, str(fields["event_name"])]
     if "endpoint" in fields:
         parts.append(f"at {fields['endpoint']}")
-    parts += [f"{k}={v}" for k, v in fields.items() if k not in _LEFT_OUT]
+    parts += [f"{k}={v}" for k, v in fields.items() if k not in _OMITTED_FIELDS]
     return " ".join(parts)
 
 
--- a/src/auburnswitch/cli/load.py
+++ b/src/auburnswitch/cli/load.py
@@ -1,4 +1,4 @@
-"""Shows and saves the report of a load run."""
+"""Runs a load and prints or saves its report."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def make_load_target(
     *, model: str, host: str, path: str
 ) -> ModelTarget | RouteTarget:
-    """Returns what a load run asks.
+    """Returns the target of a load run.
 
     Raises:
         CommandError: Neither a model nor a route is given, or both are.
@@ -39,28 +39,29 @@
 
 
 def run_load_command(options: LoadOptions, *, save: str, as_json: bool) -> int:
-    """Runs a load, shows its report and returns the exit code.
+    """Runs a load, prints its report and returns the exit code.
 
     Raises:
-        CommandError: The options are not acceptable or the report cannot be
-            saved.
+        CommandError: The options are not valid or the report cannot be saved.
     """
     try:
         report = asyncio.run(run_load(options)).to_json()
     except ValueError as error:
         raise CommandError(str(error), EXIT_USAGE) from error
     if save:
-        _save(save, report)
+        _save_report(save, report)
     if as_json:
         print_json(report)
     else:
         _print_report(report)
-    results = [part["results"] for part in report["lengths"].values()]
-    whole = all(set(counts) == {"ok"} for counts in results)
-    return EXIT_OK if whole else EXIT_REFUSED
+    results = [
+        length_report["results"] for length_report in report["lengths"].values()
+    ]
+    all_ok = all(set(counts) == {"ok"} for counts in results)
+    return EXIT_OK if all_ok else EXIT_REFUSED
 
 
-def _save(path: str, report: dict[str, Any]) -> None:
+def _save_report(path: str, report: dict[str, Any]) -> None:
     try:
         Path(path).write_text(json.dumps(report, indent=2) + "\n", "utf-8")
     except OSError as error:
@@ -70,10 +71,19 @@
 
 def _print_report(report: dict[str, Any]) -> None:
     rows = []
-    for name, part in report["lengths"].items():
-        times = part["first_token_s"]
-        results = ", ".join(f"{k} {v}" for k, v in part["results"].items())
-        rows.append((name, part["requests"], *times.values(), results))
+    for name, length_report in report["lengths"].items():
+        first_token_times_s = length_report["first_token_s"]
+        results = ", ".join(
+            f"{k} {v}" for k, v in length_report["results"].items()
+        )
+        rows.append(
+            (
+                name,
+                length_report["requests"],
+                *first_token_times_s.values(),
+                results,
+            )
+        )
     columns = ("LENGTH", "REQUESTS", "P50 S", "P95 S", "P99 S", "RESULTS")
     print_table(columns, rows)
     print(f"took {report['took_s']} s")
--- a/src/auburnswitch/cli/main.py
+++ b/src/auburnswitch/cli/main.py
@@ -16,7 +16,7 @@
 
 
 class Commands:
-    """Operates auburnswitch.
+    """Commands that operate auburnswitch.
 
     The operators' listener and its key come from --url and --key_file, or from
     the variables AUBURNSWITCH_URL and AUBURNSWITCH_KEY_FILE.
@@ -100,8 +100,8 @@
         """
         client = OperatorClient(url=url, key_file=key_file)
         query = {"object": object_name, "author": author}
-        given = {name: value for name, value in query.items() if value}
-        print_json(asyncio.run(client.get("/audit", **given)))
+        filters = {name: value for name, value in query.items() if value}
+        print_json(asyncio.run(client.get("/audit", **filters)))
         return EXIT_OK
 
     def load(
@@ -118,18 +118,18 @@
         save: str = "",
         json: bool = False,
     ) -> int:
-        """Sends a bounded mix of prompt lengths and reports the outcomes.
+        """Sends requests with a mix of prompt lengths and reports the results.
 
         Args:
             urls: Base URLs of daemons for callers, separated by commas.
             key_file: File with a caller key.
-            model: Model to ask through the product's own interface.
-            host: Host of a route to ask in place of a model.
-            path: Path under that route.
-            requests: Requests to send.
-            rate_per_s: Mean arrivals in a second.
-            answer_tokens: Tokens of each answer.
-            seed: Seed of lengths and arrivals.
+            model: Model to request through the completion API.
+            host: Host of a route to call instead of a model.
+            path: Path on the host of the route.
+            requests: Number of requests to send.
+            rate_per_s: Mean arrival rate, in requests per second.
+            answer_tokens: Number of tokens of each answer.
+            seed: Seed of the prompt lengths and arrival times.
             save: File for the report as JSON.
             json: Print JSON.
         """
@@ -148,10 +148,10 @@
         return run_load_command(options, save=save, as_json=json)
 
     def explain(self, request_id: str, *log_files: str) -> int:
-        """Tells what daemons logged of one request and of its endpoints.
+        """Shows the log events of one request and of its endpoints.
 
         Args:
-            request_id: Id of the request, or its beginning.
+            request_id: Id of the request, or a prefix of the id.
             *log_files: Logs of the daemons.
         """
         from auburnswitch.cli.explain import explain
@@ -159,7 +159,7 @@
         return explain(str(request_id), log_files)
 
     def demo(self) -> int:
-        """Runs two small fleets in one process and shows what they do."""
+        """Runs two small fleets in one process and prints their activity."""
         from auburnswitch.experiments.demo import run_demo
         from auburnswitch.experiments.entry_demo import run_entry_demo
 
@@ -169,9 +169,9 @@
 
 
 def run(arguments: list[str] | None = None) -> None:
-    """Entry point of ``auburnswitch``; exits with the command's code."""
+    """Runs ``auburnswitch`` and exits with the exit code of the command."""
     try:
-        outcome: Any = fire.Fire(
+        result: Any = fire.Fire(
             Commands(),
             command=arguments,
             name="auburnswitch",
@@ -182,7 +182,7 @@
         sys.exit(error.exit_code)
     except KeyboardInterrupt:
         sys.exit(EXIT_USAGE)
-    sys.exit(outcome if isinstance(outcome, int) else EXIT_OK)
+    sys.exit(result if isinstance(result, int) else EXIT_OK)
 
 
 __all__ = ["Commands", "run"]
--- a/src/auburnswitch/cli/output.py
+++ b/src/auburnswitch/cli/output.py
@@ -16,11 +16,11 @@
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
     """Prints rows under their column names."""
-    texts = [list(columns)] + [[str(cell) for cell in row] for row in rows]
+    table = [list(columns)] + [[str(cell) for cell in row] for row in rows]
     widths = [
-        max(len(row[number]) for row in texts) for number in range(len(columns))
+        max(len(row[column]) for row in table) for column in range(len(columns))
     ]
-    for row in texts:
+    for row in table:
         cells = [
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ]
@@ -28,7 +28,7 @@
 
 
 def print_fields(fields: dict[str, Any]) -> None:
-    """Prints names and values, one pair a line."""
+    """Prints names and values, one pair per line."""
     for name, value in fields.items():
         text = ", ".join(map(str, value)) if isinstance(value, list) else value
         print(f"{name}: {text}")
--- a/src/auburnswitch/cli/settings.py
+++ b/src/auburnswitch/cli/settings.py
@@ -1,4 +1,4 @@
-"""Commands about settings files."""
+"""Commands for settings files."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     """Checks and shows settings files."""
 
     def check(self, settings_file: str, entry: bool = False) -> int:
-        """Checks a settings file and reports all of its faults.
+        """Checks a settings file and reports all errors.
 
         Args:
             settings_file: Path of the INI file.
-            entry: It is one of an entry daemon.
+            entry: The file is the settings file of an entry daemon.
         """
         _load(settings_file, entry=entry)
         print("ok")
@@ -34,11 +34,11 @@
     def show(
         self, settings_file: str, entry: bool = False, json: bool = False
     ) -> int:
-        """Shows every setting with the value in force; keys are not shown.
+        """Shows every setting with its effective value, but no secret keys.
 
         Args:
             settings_file: Path of the INI file.
-            entry: It is one of an entry daemon.
+            entry: The file is the settings file of an entry daemon.
             json: Print JSON.
         """
         data = to_json(_load(settings_file, entry=entry))
--- a/src/auburnswitch/cli/tickets.py
+++ b/src/auburnswitch/cli/tickets.py
@@ -1,4 +1,4 @@
-"""Commands about change tickets."""
+"""Commands for change tickets."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         rows = [
             (
                 ticket["number"],
-                _time_text(ticket["accepted_at"]),
+                _format_time(ticket["accepted_at"]),
                 ticket["author"],
                 len(ticket["changes"]),
                 ticket["note"],
@@ -104,10 +104,12 @@
     for warning in body["warnings"]:
         print(f"warning: {warning}", file=sys.stderr)
     report = {"ticket": number, "accepted": True}
-    return report | (await _wait(client, number, timeout_s) if wait else {})
+    return report | (
+        await _wait_until_in_force(client, number, timeout_s) if wait else {}
+    )
 
 
-async def _wait(
+async def _wait_until_in_force(
     client: OperatorClient, number: int, timeout_s: float
 ) -> dict[str, Any]:
     started_at = time.monotonic()
@@ -145,9 +147,9 @@
         raise CommandError(f"{ticket_file}: {error}", EXIT_USAGE) from error
 
 
-def _time_text(seconds: float) -> str:
-    moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
-    return moment.strftime("%Y-%m-%d %H:%M:%S")
+def _format_time(seconds: float) -> str:
+    time_utc = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
+    return time_utc.strftime("%Y-%m-%d %H:%M:%S")
 
 
 __all__ = ["TicketCommands"]
--- a/src/auburnswitch/observe/__init__.py
+++ b/src/auburnswitch/observe/__init__.py
@@ -1,3 +1,3 @@
-"""Events, metrics and invariants."""
+"""Log events, metrics, invariants and background tasks."""
 
 from __future__ import annotations
--- a/src/auburnswitch/observe/entry_metrics.py
+++ b/src/auburnswitch/observe/entry_metrics.py
@@ -1,4 +1,4 @@
-"""Exports the entry daemon's statistics by OpenTelemetry."""
+"""Exports the entry daemon's statistics as OpenTelemetry metrics."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EntryMetrics:
-    """Reads the statistics each time that metrics are collected."""
+    """Metrics whose values are read from the statistics at each collection."""
 
     __slots__ = ("meter", "provider", "registry", "statistics")
 
@@ -39,8 +39,8 @@
             metric_readers=[reader], shutdown_on_exit=False
         )
         self.meter = self.provider.get_meter("auburnswitch")
-        self._add_counter("requests", self._requests)
-        self._add_counter("retries", self._retries)
+        self._add_counter("requests", self._observe_requests)
+        self._add_counter("retries", self._observe_retries)
         self._add_histograms(
             "first_event_seconds", statistics.time_to_first_event
         )
@@ -52,12 +52,12 @@
         """Returns all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
-    def _requests(self) -> Iterable[Observation]:
+    def _observe_requests(self) -> Iterable[Observation]:
         for (name, outcome), count in self.statistics.requests.items():
             labels = {"length": name, "outcome": outcome}
             yield Observation(count, labels)
 
-    def _retries(self) -> Iterable[Observation]:
+    def _observe_retries(self) -> Iterable[Observation]:
         for cause, count in self.statistics.retries.items():
             yield Observation(count, {"cause": cause})
 
--- a/src/auburnswitch/observe/invariants.py
+++ b/src/auburnswitch/observe/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants asserted inside the daemon."""
+"""Invariants that are checked while the daemon runs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Invariant(enum.Enum):
-    """Names of the invariants."""
+    """Invariants of the daemon, each with a description."""
 
     COLD_BOUND = "a cold endpoint receives no more than its bound"
     ZONE_OUT = "a zone taken out of service receives no new work"
@@ -36,11 +36,11 @@
 
 
 class Invariants:
-    """Checks invariants: raises in tests, counts and logs in production.
+    """Counts and logs violations of invariants; in tests, also raises them.
 
     Attributes:
-        strict: Raise on a violation.
-        violations: Count of violations by invariant.
+        strict: Whether a violation raises ``InvariantError``.
+        violations: Number of violations by invariant.
     """
 
     __slots__ = ("strict", "violations")
@@ -67,7 +67,7 @@
             raise InvariantError(f"{invariant.value}: {details}")
 
     def observe(self, _: CallbackOptions) -> Iterator[Observation]:
-        """Yields the count of violations of each invariant."""
+        """Yields the number of violations of each invariant."""
         for invariant in Invariant:
             count = self.violations.get(invariant, 0)
             yield Observation(count, {"invariant": invariant.name.lower()})
--- a/src/auburnswitch/observe/logs.py
+++ b/src/auburnswitch/observe/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON line for each numbered event."""
+"""Structured logs with one JSON line per numbered event."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from auburnswitch.schema.events import EVENTID_INFO, EventId
 
 LOGGER: Final = logging.getLogger("auburnswitch")
-LOGGER.addHandler(logging.NullHandler())  # a library logs nothing by itself
+LOGGER.addHandler(logging.NullHandler())  # as a library, log nothing by default
 _LEVELS: Final = {
     event: logging.getLevelNamesMapping()[info.options["level"].upper()]
     for event, info in EVENTID_INFO.items()
@@ -19,7 +19,7 @@
 
 
 def configure_logs(level: str) -> None:
-    """Writes events of a level and above to standard error as JSON lines."""
+    """Logs events of a level and above to standard error as JSON lines."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter(
--- a/src/auburnswitch/observe/metrics.py
+++ b/src/auburnswitch/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, exported in Prometheus form."""
+"""OpenTelemetry metrics, exported in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 class Metrics:
-    """The instruments of one daemon.
+    """OpenTelemetry instruments of one daemon.
 
     Attributes:
         time_to_first_token: Time to first token by length class, in seconds.
-        requests: Finished requests by result code.
-        retries: Attempts after the first.
-        late_frames: Frames of another attempt that were dropped.
+        requests: Number of finished requests by result code.
+        retries: Number of attempts after the first of a request.
+        late_frames: Number of dropped frames of another attempt.
     """
 
     __slots__ = (
@@ -73,11 +73,11 @@
         self.time_to_first_token = self.meter.create_histogram(
             FIRST_TOKEN_METRIC, unit="s"
         )
-        self.requests = self._counter("requests")
-        self.retries = self._counter("retries")
-        self.late_frames = self._counter("late_frames")
+        self.requests = self._create_counter("requests")
+        self.retries = self._create_counter("retries")
+        self.late_frames = self._create_counter("late_frames")
 
-    def _counter(self, name: str):  # noqa: ANN202
+    def _create_counter(self, name: str):  # noqa: ANN202
         return self.meter.create_counter(f"auburnswitch_{name}")
 
     def register_gauge(self, name: str, read: Callable[[], float]) -> None:
@@ -97,7 +97,7 @@
         return generate_latest(self.registry)
 
     def close(self) -> None:
-        """Stops collecting."""
+        """Shuts the meter provider down."""
         self.provider.shutdown()
 
 
--- a/src/auburnswitch/observe/nonblocking_logs.py
+++ b/src/auburnswitch/observe/nonblocking_logs.py
@@ -1,4 +1,4 @@
-"""Writes structured logs without ever waiting for their reader."""
+"""Writes structured logs without blocking on the reader of the output."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 
 class NonBlockingLogHandler(logging.Handler):
-    """Writes lines to a descriptor that does not block.
+    """Writes log lines to a non-blocking file descriptor.
 
-    Lines over the rate, and lines that the reader does not take, are dropped
-    and counted; the count is written with the next line.
+    Lines above the rate limit, and lines for which the buffer is full because
+    the reader is too slow, are dropped and counted; the next line that is
+    written carries the count.
 
     Attributes:
-        descriptor: File descriptor that is written to.
-        max_lines_per_s: Lines written in one second at the most.
-        dropped_lines: Lines dropped since the last line that was written.
+        descriptor: Non-blocking file descriptor for the output.
+        max_lines_per_s: Maximum number of lines written per second.
+        dropped_lines: Number of lines dropped since the last written line.
     """
 
     def __init__(self, *, descriptor: int, max_lines_per_s: int) -> None:
@@ -34,19 +35,19 @@
         self.descriptor = descriptor
         self.max_lines_per_s = max_lines_per_s
         self.dropped_lines = 0
-        self._unwritten = b""
-        self._window_at = 0.0
-        self._lines = 0
+        self._buffer = b""
+        self._window_started_at = 0.0
+        self._window_lines = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a record or drops it."""
+        """Writes a record; drops it above the rate or if the buffer is full."""
         now = time.monotonic()
-        if now - self._window_at >= RATE_WINDOW_S:
-            self._window_at = now
-            self._lines = 0
-        self._lines += 1
-        full = len(self._unwritten) > MAX_BUFFERED_BYTES
-        if full or self._lines > self.max_lines_per_s:
+        if now - self._window_started_at >= RATE_WINDOW_S:
+            self._window_started_at = now
+            self._window_lines = 0
+        self._window_lines += 1
+        buffer_full = len(self._buffer) > MAX_BUFFERED_BYTES
+        if buffer_full or self._window_lines > self.max_lines_per_s:
             self.dropped_lines += 1
             self._write(b"")
             return
@@ -56,16 +57,16 @@
         self._write(self.format(record).encode() + b"\n")
 
     def _write(self, line: bytes) -> None:
-        self._unwritten += line
-        with contextlib.suppress(BlockingIOError):  # written with a later line
-            written = os.write(self.descriptor, self._unwritten)
-            self._unwritten = self._unwritten[written:]
+        self._buffer += line
+        with contextlib.suppress(BlockingIOError):  # retried with the next line
+            written = os.write(self.descriptor, self._buffer)
+            self._buffer = self._buffer[written:]
 
 
 def configure_nonblocking_logs(
     level: str, max_lines_per_s: int
 ) -> NonBlockingLogHandler:
-    """Writes events of a level and above to standard output."""
+    """Logs events of a level and above to standard output, without blocking."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     handler = NonBlockingLogHandler(
--- a/src/auburnswitch/observe/statistics.py
+++ b/src/auburnswitch/observe/statistics.py
@@ -1,7 +1,8 @@
 """Counters and latency histograms of the entry daemon.
 
-They are plain numbers, so that a start does not wait for the imports of a
-metrics library; ``auburnswitch.observe.entry_metrics`` exports them.
+The values are plain numbers, so that the start of the daemon does not wait
+for the imports of a metrics library; ``auburnswitch.observe.entry_metrics``
+exports them.
 """
 
 from __future__ import annotations
@@ -31,10 +32,11 @@
 
 
 class Histogram:
-    """Counts of values by bucket.
+    """Histogram of latencies in seconds.
 
     Attributes:
-        counts: Values in each bucket, the last one without an upper bound.
+        counts: Number of values in each bucket; the last bucket has no upper
+            bound.
         total: Sum of all values.
     """
 
@@ -45,28 +47,29 @@
         self.total = 0.0
 
     def observe(self, value: float) -> None:
-        """Adds a value."""
+        """Adds a value in seconds."""
         self.counts[bisect_left(LATENCY_BUCKET_BOUNDS_S, value)] += 1
         self.total += value
 
     def cumulative_counts(self) -> list[tuple[str, int]]:
         """Returns each upper bound with the number of values up to it."""
         bounds = [*map(str, LATENCY_BUCKET_BOUNDS_S), "+Inf"]
-        passed, rows = 0, []
+        cumulative_count, rows = 0, []
         for bound, count in zip(bounds, self.counts, strict=True):
-            passed += count
-            rows.append((bound, passed))
+            cumulative_count += count
+            rows.append((bound, cumulative_count))
         return rows
 
 
 class EntryStatistics:
-    """What one entry daemon has done.
+    """Request statistics of one entry daemon.
 
     Attributes:
-        requests: Requests by length class and outcome.
-        retries: Further attempts by cause.
-        time_to_first_event: Time to an answer's first event by length class.
-        duration: Time to an answer's end by length class.
+        requests: Number of requests by length class and outcome.
+        retries: Number of retries by cause.
+        time_to_first_event: Time to the first event of an answer by length
+            class.
+        duration: Time to the end of an answer by length class.
     """
 
     __slots__ = ("duration", "requests", "retries", "time_to_first_event")
@@ -75,22 +78,30 @@
         self.requests: Counter[tuple[str, str]] = Counter()
         self.retries: Counter[str] = Counter()
         classes = ("plain", "short", "medium", "long")
-        self.time_to_first_event = {name: Histogram() for name in classes}
-        self.duration = {name: Histogram() for name in classes}
-
-    def record_request(self, tokens: int, outcome: str, took_s: float) -> None:
-        """Counts a request that has ended."""
-        name = classify_length(tokens)
-        self.requests[name, outcome] += 1
-        self.duration[name].observe(took_s)
-
-    def record_first_event(self, tokens: int, after_s: float) -> None:
-        """Counts the first event of an answer."""
-        self.time_to_first_event[classify_length(tokens)].observe(after_s)
+        self.time_to_first_event = {
+            length_class: Histogram() for length_class in classes
+        }
+        self.duration = {length_class: Histogram() for length_class in classes}
+
+    def record_request(
+        self, prompt_tokens: int, outcome: str, duration_s: float
+    ) -> None:
+        """Records a finished request and its duration."""
+        length_class = classify_length(prompt_tokens)
+        self.requests[length_class, outcome] += 1
+        self.duration[length_class].observe(duration_s)
+
+    def record_first_event(
+        self, prompt_tokens: int, first_event_s: float
+    ) -> None:
+        """Records the time to the first event of an answer."""
+        self.time_to_first_event[classify_length(prompt_tokens)].observe(
+            first_event_s
+        )
 
 
 def classify_length(prompt_tokens: int) -> str:
-    """Returns the class of a prompt's length, ``plain`` without a prompt."""
+    """Returns the length class of a prompt; ``plain`` if there is none."""
     if not prompt_tokens:
         return "plain"
     if prompt_tokens <= SHORT_MAX_TOKENS:
--- a/src/auburnswitch/observe/tasks.py
+++ b/src/auburnswitch/observe/tasks.py
@@ -14,11 +14,11 @@
 
 
 class TaskSet:
-    """Tasks that end together.
+    """A set of background tasks that are cancelled together.
 
     Attributes:
-        tasks: The tasks that have not ended.
-        errors: Unexpected errors of ended tasks.
+        tasks: Running tasks.
+        errors: Unexpected errors that ended tasks.
     """
 
     __slots__ = ("errors", "tasks")
@@ -33,10 +33,10 @@
         """Starts a task and keeps a reference to it."""
         task = asyncio.create_task(coroutine, name=name)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if task.cancelled():
             return
@@ -47,7 +47,7 @@
             )
 
     async def cancel(self) -> None:
-        """Cancels all tasks and waits for their end."""
+        """Cancels all tasks and waits until they have ended."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
@@ -56,7 +56,7 @@
 
 @contextlib.asynccontextmanager
 async def open_task_set() -> AsyncIterator[TaskSet]:
-    """Yields a task set and cancels its tasks at the end."""
+    """Yields a task set and cancels its tasks on exit."""
     tasks = TaskSet()
     try:
         yield tasks
--- a/src/auburnswitch/settings/__init__.py
+++ b/src/auburnswitch/settings/__init__.py
@@ -1,3 +1,3 @@
-"""Reads and checks the settings file."""
+"""Reads and validates the settings files."""
 
 from __future__ import annotations
--- a/src/auburnswitch/settings/loader.py
+++ b/src/auburnswitch/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads and checks the settings file as a whole."""
+"""Reads settings files and reports all errors of a file together."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class SettingsProblem:
-    """One fault of a settings file.
+    """One error in a settings file.
 
     Attributes:
-        section: Section of the file, empty for the whole file.
-        key: Key in the section, empty for the whole section.
-        reason: What is wrong.
+        section: Section of the file; empty if the whole file is meant.
+        key: Key in the section; empty if the whole section is meant.
+        reason: Description of the error.
     """
 
     section: str
@@ -38,25 +38,27 @@
     reason: str
 
     def __str__(self) -> str:
-        place = f"[{self.section}] {self.key}".strip() if self.section else ""
-        return f"{place}: {self.reason}" if place else self.reason
+        location = (
+            f"[{self.section}] {self.key}".strip() if self.section else ""
+        )
+        return f"{location}: {self.reason}" if location else self.reason
 
 
 def load_settings(path: Path) -> Result[Settings, list[SettingsProblem]]:
-    """Reads a settings file and reports all of its faults together.
+    """Reads a settings file and reports all of its errors together.
 
     Args:
         path: The INI file.
 
     Returns:
-        The settings, or every fault found.
+        The settings, or every error found.
     """
     return _read_file(path).bind(parse_settings)
 
 
 def parse_settings(text: str) -> Result[Settings, list[SettingsProblem]]:
     """Reads settings from the text of an INI file."""
-    return _parse(text, Settings(), _check_whole)
+    return _parse(text, Settings(), _check_settings)
 
 
 def load_entry_settings(
@@ -70,7 +72,7 @@
     text: str,
 ) -> Result[EntrySettings, list[SettingsProblem]]:
     """Reads an entry daemon's settings from the text of an INI file."""
-    return _parse(text, EntrySettings(), _check_entry)
+    return _parse(text, EntrySettings(), _check_entry_settings)
 
 
 def _read_file(path: Path) -> Result[str, list[SettingsProblem]]:
@@ -84,7 +86,7 @@
 def _parse(
     text: str,
     settings: SettingsT,
-    check_whole: Callable[[SettingsT], list[SettingsProblem]],
+    check_consistency: Callable[[SettingsT], list[SettingsProblem]],
 ) -> Result[SettingsT, list[SettingsProblem]]:
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -92,16 +94,16 @@
     except configparser.Error as error:
         return Error([_problem("", "", str(error).replace("\n", " "))])
     problems: list[SettingsProblem] = []
-    known = {field.name for field in dataclasses.fields(settings)}
+    section_names = {field.name for field in dataclasses.fields(settings)}
     for section in parser.sections():
-        if section not in known:
+        if section not in section_names:
             problems.append(_problem(section, "", "unknown section"))
-    for name in known:
+    for name in section_names:
         values = dict(parser[name]) if parser.has_section(name) else {}
         section = getattr(settings, name)
         problems += _read_section(name, section, values)
     if not problems:
-        problems += check_whole(settings)
+        problems += check_consistency(settings)
     return Error(sorted(problems, key=str)) if problems else Ok(settings)
 
 
@@ -132,17 +134,17 @@
     return problems
 
 
-def _convert(text: str, kind: type) -> Any:
-    if kind is bool:
+def _convert(text: str, value_type: type) -> Any:
+    if value_type is bool:
         if text.lower() not in _BOOLEANS:
             raise ValueError("must be true or false")
         return _BOOLEANS[text.lower()]
-    if kind is int:
+    if value_type is int:
         try:
             return int(text)
         except ValueError:
             raise ValueError("must be a whole number") from None
-    if kind is float:
+    if value_type is float:
         try:
             return float(text)
         except ValueError:
@@ -152,7 +154,7 @@
 
 def _check_bounds(value: Any, options: Any) -> None:
     unit = f" {options['unit']}" if "unit" in options else ""
-    if isinstance(value, float) and value != value:  # not a number
+    if isinstance(value, float) and value != value:  # NaN
         raise ValueError("must be a number")
     if "min" in options and value < float(options["min"]):
         raise ValueError(f"must be at least {options['min']}{unit}")
@@ -168,9 +170,9 @@
         raise ValueError("must name a file that can be read")
 
 
-def _check_whole(settings: Settings) -> list[SettingsProblem]:
+def _check_settings(settings: Settings) -> list[SettingsProblem]:
     problems = []
-    seen: dict[tuple[str, int], str] = {}
+    sections_by_address: dict[tuple[str, int], str] = {}
     for name in ("callers", "operators", "peers"):
         section = getattr(settings, name)
         try:
@@ -178,17 +180,17 @@
         except ValueError:
             problems.append(_problem(name, "host", "must be an IP address"))
         address = (section.host, section.port)
-        if section.port and address in seen:
-            reason = f"same address as [{seen[address]}]"
+        if section.port and address in sections_by_address:
+            reason = f"same address as [{sections_by_address[address]}]"
             problems.append(_problem(name, "port", reason))
-        seen[address] = name
+        sections_by_address[address] = name
     if settings.routing.short_max_tokens >= settings.routing.medium_max_tokens:
         reason = "must be less than medium_max_tokens"
         problems.append(_problem("routing", "short_max_tokens", reason))
     return problems
 
 
-def _check_entry(settings: EntrySettings) -> list[SettingsProblem]:
+def _check_entry_settings(settings: EntrySettings) -> list[SettingsProblem]:
     problems = []
     listen = settings.listen
     for section, key, address in (
--- a/tests/cli/test_against_daemon.py
+++ b/tests/cli/test_against_daemon.py
@@ -17,7 +17,7 @@
 from auburnswitch.standins.installation_objects import HOST
 from tests.processes import CALLER_KEY, initial_ticket, open_process_fleet
 
-LIMIT_S = 60
+TIMEOUT_S = 60
 TICKET = """
 number = 7
 author = "mina"
@@ -51,16 +51,16 @@
         out, err = await process.communicate()
         return process.returncode, out.decode(), err.decode()
 
-    async def test_ticket_from_file_to_audit(self):
-        async with asyncio.timeout(LIMIT_S), open_process_fleet() as fleet:
+    async def test_ticket_commands(self):
+        async with asyncio.timeout(TIMEOUT_S), open_process_fleet() as fleet:
             await fleet.start_standin("platform", "platform")
-            first = await fleet.start_daemon("entry-1")
+            daemon = await fleet.start_daemon("entry-1")
             await fleet.start_daemon("entry-2")
             path = fleet.folder / "ticket.toml"
             path.write_text(TICKET, "utf-8")
             self.environment = {
                 "PYTHONPATH": os.pathsep.join(sys.path),
-                "AUBURNSWITCH_URL": first.operators,
+                "AUBURNSWITCH_URL": daemon.operators,
                 "AUBURNSWITCH_KEY_FILE": str(fleet.folder / "operator.key"),
             }
 
@@ -108,17 +108,17 @@
             self.assertIn("ok 6", out)
             self.assertEqual(len(fleet.arrivals), 6)
 
-    async def test_load_of_neither_a_model_nor_a_route(self):
+    async def test_load_rejects_invalid_target(self):
         self.environment = {"PYTHONPATH": os.pathsep.join(sys.path)}
-        for more in ((), ("--model=m", "--host=h", "--path=/p")):
+        for options in ((), ("--model=m", "--host=h", "--path=/p")):
             code, _, err = await self.invoke(
-                "load", "http://127.0.0.1:1", __file__, *more
+                "load", "http://127.0.0.1:1", __file__, *options
             )
             self.assertEqual(code, 2)
             self.assertIn("either --model, or --host and --path", err)
 
-    async def test_load_reports_and_saves(self):
-        async with asyncio.timeout(LIMIT_S), open_process_fleet() as fleet:
+    async def test_load_prints_and_saves_report(self):
+        async with asyncio.timeout(TIMEOUT_S), open_process_fleet() as fleet:
             await fleet.start_standin("platform", "platform")
             await fleet.start_standin("engine-1", "engine", "--warm_after=1")
             daemons = [
@@ -129,7 +129,7 @@
             await fleet.wait_ready(live=2)
             key_file = fleet.folder / "caller.key"
             key_file.write_text(CALLER_KEY, "utf-8")
-            saved = fleet.folder / "report.json"
+            report_file = fleet.folder / "report.json"
             self.environment = {"PYTHONPATH": os.pathsep.join(sys.path)}
             code, out, err = await self.invoke(
                 "load",
@@ -138,10 +138,12 @@
                 "chat",
                 "--requests=6",
                 "--answer_tokens=2",
-                f"--save={saved}",
+                f"--save={report_file}",
             )
             self.assertEqual((code, err), (0, ""))
             self.assertIn("LENGTH", out)
-            short = json.loads(saved.read_text("utf-8"))["lengths"]["short"]
+            short = json.loads(report_file.read_text("utf-8"))["lengths"][
+                "short"
+            ]
             self.assertEqual(short["results"], {"ok": short["requests"]})
             self.assertGreater(short["first_token_s"]["p50"], 0)
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request from the logs of several daemons."""
+"""Tests of merging the log events of a request from several daemons."""
 
 from __future__ import annotations
 
@@ -44,13 +44,15 @@
             )
         )
 
-    def test_story_with_what_other_daemons_saw(self):
+    def test_merges_endpoint_events_of_other_daemons(self):
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
             explain("ab", [str(self.first), str(self.second)])
-        shown = [text.split()[:3] for text in out.getvalue().splitlines()]
+        printed_events = [
+            text.split()[:3] for text in out.getvalue().splitlines()
+        ]
         self.assertEqual(
-            shown,
+            printed_events,
             [
                 ["1", "entry-1", "request_placed"],
                 ["3", "entry-2", "endpoint_suspected"],
@@ -59,7 +61,7 @@
             ],
         )
 
-    def test_unknown_request_and_missing_file(self):
+    def test_rejects_unknown_request_and_missing_file(self):
         with self.assertRaises(CommandError):
             explain("nothing", [str(self.first)])
         with self.assertRaises(CommandError):
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -12,7 +12,7 @@
 from auburnswitch.cli.errors import EXIT_OK, EXIT_UNREACHABLE, EXIT_USAGE
 from auburnswitch.cli.main import run
 
-VALID = """
+VALID_SETTINGS = """
 [daemon]
 instance = entry-1
 zone = daejeon-1
@@ -21,7 +21,7 @@
 [platform]
 url = http://127.0.0.1:9000
 """
-INVALID = """
+INVALID_SETTINGS = """
 [daemon]
 instance = entry-1
 colour = red
@@ -57,7 +57,7 @@
 
     def test_valid_settings(self):
         key_file = self.write("peer.key", "secret-key")
-        path = self.write("a.ini", VALID.format(key_file=key_file))
+        path = self.write("a.ini", VALID_SETTINGS.format(key_file=key_file))
         self.assertEqual(
             self.invoke("settings", "check", path), (EXIT_OK, "ok\n", "")
         )
@@ -66,11 +66,11 @@
         self.assertEqual(json.loads(shown)["daemon"]["instance"], "entry-1")
         self.assertNotIn("secret-key", shown)
 
-    def test_all_faults_of_settings_together(self):
-        path = self.write("a.ini", INVALID)
+    def test_reports_all_settings_errors_together(self):
+        path = self.write("a.ini", INVALID_SETTINGS)
         code, _, errors = self.invoke("settings", "check", path)
         self.assertEqual(code, EXIT_USAGE)
-        for fault in (
+        for expected_error in (
             "[callers] port: must be at most 65535",
             "[daemon] colour: unknown key",
             "[daemon] zone: is required",
@@ -78,14 +78,14 @@
             "[peers] key_file: must name a file",
             "[platform] url: is required",
         ):
-            self.assertIn(fault, errors)
+            self.assertIn(expected_error, errors)
 
     def test_unreachable_daemon(self):
         code, _, errors = self.invoke("status", "--url=http://127.0.0.1:1")
         self.assertEqual(code, EXIT_UNREACHABLE)
         self.assertEqual(errors.count("\n"), 1)
 
-    def test_ticket_faults_name_the_field(self):
+    def test_ticket_errors_name_the_field(self):
         path = self.write("t.toml", 'number = 1\n[teams.a]\nweigth = "x"\n')
         code, _, errors = self.invoke("ticket", "apply", path)
         self.assertEqual(code, EXIT_USAGE)
--- a/tests/observe/test_invariants.py
+++ b/tests/observe/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests of counting and raising violations."""
+"""Tests of counting and raising invariant violations."""
 
 from __future__ import annotations
 
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -15,7 +15,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    def test_a_request_shows_in_the_metrics(self):
+    def test_metrics_after_one_request(self):
         async def scenario():
             options = FleetOptions(
                 engines=1, daemons=1, connector=SimulatedConnector
--- a/tests/observe/test_nonblocking_logs.py
+++ b/tests/observe/test_nonblocking_logs.py
@@ -1,4 +1,4 @@
-"""Logs never wait for their reader and are bounded."""
+"""Tests that log output does not block and is rate-limited."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, self.writer)
 
-    def logger(
+    def make_logger(
         self, lines_per_s: int
     ) -> tuple[logging.Logger, NonBlockingLogHandler]:
         handler = NonBlockingLogHandler(
@@ -31,20 +31,20 @@
         logger.addHandler(handler)
         return logger, handler
 
-    def test_a_reader_that_stops_costs_no_time(self):
-        logger, handler = self.logger(1_000_000)
+    def test_does_not_block_on_stopped_reader(self):
+        logger, handler = self.make_logger(1_000_000)
         started = time.monotonic()
         for _ in range(5_000):
             logger.info("x" * 200)
         self.assertLess(time.monotonic() - started, 2.0)
         self.assertGreater(handler.dropped_lines, 0)
 
-    def test_what_was_dropped_is_said(self):
-        logger, handler = self.logger(3)
+    def test_reports_number_of_dropped_lines(self):
+        logger, handler = self.make_logger(3)
         for number in range(10):
             logger.info("line %d", number)
         self.assertEqual(handler.dropped_lines, 7)
-        handler._window_at = 0.0
+        handler._window_started_at = 0.0
         logger.info("later")
         lines = os.read(self.reader, 65536).decode().splitlines()
         self.assertEqual(len(lines), 4)
--- a/tests/schema/test_codec.py
+++ b/tests/schema/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the generated structs in binary and JSON form."""
+"""Tests of the binary and JSON encodings of the generated structs."""
 
 from __future__ import annotations
 
