--- a/tools/generate_schema.py
+++ b/tools/generate_schema.py
@@ -154,7 +154,7 @@
         optional: bool,
     ) -> None:
         type_id = spec[0]
-        # Drops the underscore that keeps "service" from being a reserved word.
+        # The underscore avoids reserved words of the IDL, such as "service".
         self.name = spec[1].rstrip("_")
         inner_type = spec[2] if len(spec) == 4 else None
         self.number = number
