--- a/src/auburnswitch/experiments/__init__.py
+++ b/src/auburnswitch/experiments/__init__.py
@@ -1,3 +1,3 @@
-"""Fleets of daemons and stand-ins in one process, for demo and measurement."""
+"""Runs fleets of daemons and stand-ins for demos, tests and measurements."""
 
 from __future__ import annotations
--- a/src/auburnswitch/experiments/actions.py
+++ b/src/auburnswitch/experiments/actions.py
@@ -1,4 +1,4 @@
-"""What a randomised run does to a fleet, step by step."""
+"""Actions of a randomised run on a fleet, and their random generation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Complete:
-    """Sends a completion through a daemon."""
+    """Sends a completion request through a daemon."""
 
     daemon: int
     prompt_tokens: int
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Book:
-    """Sends a booking through a daemon, perhaps with a key used before."""
+    """Sends a booking through a daemon; its idempotency key may be reused."""
 
     daemon: int
     key: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class KillDaemon:
-    """Kills a daemon and starts it again after a time."""
+    """Kills a daemon and restarts it after `down_s` seconds."""
 
     daemon: int
     down_s: float
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class FreezeDaemon:
-    """Freezes a daemon for a time."""
+    """Freezes a daemon for `seconds` seconds."""
 
     daemon: int
     seconds: float
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReplaceDaemon:
-    """Stops a daemon gracefully and starts it again."""
+    """Stops a daemon gracefully and restarts it."""
 
     daemon: int
 
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class FreezeEngine:
-    """Freezes an engine for a time."""
+    """Freezes an engine for `seconds` seconds."""
 
     engine: int
     seconds: float
@@ -83,21 +83,21 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DropConnections:
-    """Breaks all connections of an engine, whose streams go on."""
+    """Breaks all connections of an engine, which continues its streams."""
 
     engine: int
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PlatformOutage:
-    """Takes the platform's store down for a time."""
+    """Makes the platform's store unavailable for `seconds` seconds."""
 
     seconds: float
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SlowPlatform:
-    """Delays the platform's answers for a time."""
+    """Delays the platform's responses by `delay_s` for `seconds` seconds."""
 
     delay_s: float
     seconds: float
@@ -105,14 +105,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LoseAnswers:
-    """Lets the next writes take effect without an answer."""
+    """Lets the next `count` writes take effect but drops their responses."""
 
     count: int
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class MoveZone:
-    """Takes an availability zone out for a time and brings it back."""
+    """Takes an availability zone out of service for `out_s` seconds."""
 
     zone: int
     daemon: int
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RaceTickets:
-    """Two operators change one service through two daemons at once."""
+    """Applies two tickets for one service through two daemons at once."""
 
     first: int
     second: int
@@ -153,15 +153,15 @@
 
 
 def draw_action(rng: random.Random) -> Action:
-    """Draws an action; most of them send work or let time pass."""
+    """Draws a weighted random action; most send requests or wait."""
     draw = rng.choices(
-        [draw_for for draw_for, _ in _WEIGHTS],
-        [weight for _, weight in _WEIGHTS],
+        [draw_kind for draw_kind, _ in _ACTION_WEIGHTS],
+        [weight for _, weight in _ACTION_WEIGHTS],
     )[0]
     return draw(rng)
 
 
-def _complete(rng: random.Random) -> Action:
+def _draw_complete(rng: random.Random) -> Action:
     tokens = int(10 ** rng.uniform(2, 4.78))
     return Complete(
         daemon=rng.randrange(DAEMON_COUNT),
@@ -172,25 +172,25 @@
     )
 
 
-def _book(rng: random.Random) -> Action:
+def _draw_book(rng: random.Random) -> Action:
     return Book(
         daemon=rng.randrange(DAEMON_COUNT), key=rng.randrange(KEY_COUNT)
     )
 
 
-def _kill(rng: random.Random) -> Action:
+def _draw_kill_daemon(rng: random.Random) -> Action:
     return KillDaemon(
         daemon=rng.randrange(DAEMON_COUNT), down_s=rng.uniform(0.5, 30)
     )
 
 
-def _freeze(rng: random.Random) -> Action:
+def _draw_freeze_daemon(rng: random.Random) -> Action:
     return FreezeDaemon(
         daemon=rng.randrange(DAEMON_COUNT), seconds=rng.uniform(0.5, 20)
     )
 
 
-def _move_zone(rng: random.Random) -> Action:
+def _draw_move_zone(rng: random.Random) -> Action:
     return MoveZone(
         zone=rng.randrange(ZONE_COUNT),
         daemon=rng.randrange(DAEMON_COUNT),
@@ -198,38 +198,40 @@
     )
 
 
-def _slow(rng: random.Random) -> Action:
+def _draw_slow_platform(rng: random.Random) -> Action:
     return SlowPlatform(delay_s=rng.uniform(0.1, 3), seconds=rng.uniform(1, 30))
 
 
-def _race(rng: random.Random) -> Action:
+def _draw_race_tickets(rng: random.Random) -> Action:
     return RaceTickets(
         first=rng.randrange(DAEMON_COUNT), second=rng.randrange(DAEMON_COUNT)
     )
 
 
-def _freeze_engine(rng: random.Random) -> Action:
+def _draw_freeze_engine(rng: random.Random) -> Action:
     return FreezeEngine(
         engine=rng.randrange(ENGINE_COUNT), seconds=rng.uniform(1, 15)
     )
 
 
-_WEIGHTS: Final[tuple[tuple[Callable[[random.Random], Action], float], ...]] = (
+_ACTION_WEIGHTS: Final[
+    tuple[tuple[Callable[[random.Random], Action], float], ...]
+] = (
     (lambda rng: Wait(seconds=rng.expovariate(0.5)), 30),
-    (_complete, 40),
-    (_book, 15),
-    (_kill, 1),
-    (_freeze, 1),
+    (_draw_complete, 40),
+    (_draw_book, 15),
+    (_draw_kill_daemon, 1),
+    (_draw_freeze_daemon, 1),
     (lambda rng: ReplaceDaemon(daemon=rng.randrange(DAEMON_COUNT)), 1),
     (lambda rng: CrashEngine(engine=rng.randrange(ENGINE_COUNT)), 2),
     (lambda rng: ColdEngine(engine=rng.randrange(ENGINE_COUNT)), 1),
-    (_freeze_engine, 1),
+    (_draw_freeze_engine, 1),
     (lambda rng: DropConnections(engine=rng.randrange(ENGINE_COUNT)), 2),
     (lambda rng: PlatformOutage(seconds=rng.uniform(1, 60)), 1),
-    (_slow, 1),
+    (_draw_slow_platform, 1),
     (lambda rng: LoseAnswers(count=rng.randint(1, 3)), 2),
-    (_move_zone, 1),
-    (_race, 1),
+    (_draw_move_zone, 1),
+    (_draw_race_tickets, 1),
 )
 
 __all__ = [
--- a/src/auburnswitch/experiments/arrivals.py
+++ b/src/auburnswitch/experiments/arrivals.py
@@ -1,4 +1,4 @@
-"""Seeded arrivals of prompts of very unlike lengths."""
+"""Generates seeded arrivals of prompts that differ widely in length."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class LengthShare:
-    """One part of the offered requests.
+    """A prompt length class and its share of the offered requests.
 
     Attributes:
-        length_class: Length class of its prompts.
+        length_class: Length class of the prompts.
         share: Share of all requests.
         min_tokens: Shortest prompt, in tokens.
         max_tokens: Longest prompt, in tokens.
@@ -29,7 +29,7 @@
 
     @property
     def mean_tokens(self) -> float:
-        """Mean prompt, in tokens."""
+        """Mean prompt length, in tokens."""
         return (self.min_tokens + self.max_tokens) / 2
 
 
@@ -57,14 +57,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Arrival:
-    """One request that is to be sent.
+    """A request to be sent at a given time.
 
     Attributes:
-        offset_s: When, in seconds from the start.
+        offset_s: Send time, in seconds from the start.
         length_class: Length class of the prompt.
-        tokens: Tokens of the prompt.
-        daemon_number: Number of the daemon that the balancer chooses.
-        name: Makes the prompt unlike all others.
+        tokens: Prompt length, in tokens.
+        daemon_number: Number of the daemon that the load balancer chooses.
+        name: Unique prefix of the prompt.
     """
 
     offset_s: float
@@ -74,7 +74,7 @@
     name: str
 
     def prompt(self) -> str:
-        """Returns a prompt of the wanted length that shares no prefix."""
+        """Returns a prompt of `tokens` tokens with a unique prefix."""
         return f"{self.name} ".ljust(self.tokens * BYTES_PER_TOKEN, ".")
 
 
@@ -86,51 +86,64 @@
     daemons: int,
     duration_s: float,
 ) -> list[Arrival]:
-    """Draws arrivals whose sum of prompt tokens is exactly the load wanted.
+    """Generates arrivals whose prompt tokens sum up to the given load.
 
-    Times are uniform, as those of a Poisson process of a known count are.
-    Lengths are one from each of as many equal parts of the range.
+    Arrival times are uniform, as in a Poisson process with a known number of
+    arrivals. Prompt lengths are stratified: the range of a length class is
+    divided into as many equal intervals as it has requests, and one length is
+    drawn from each.
 
     Args:
-        seed: Seed of all draws.
-        load: Share of the capacity that is offered.
-        capacity_tokens_per_s: Prompt tokens that all engines prefill in a
-            second.
+        seed: Seed of all random draws.
+        load: Offered load as a share of the prefill capacity.
+        capacity_tokens_per_s: Prefill capacity of all engines together, in
+            tokens per second.
         daemons: Number of daemons.
         duration_s: Time over which requests arrive, in seconds.
 
     Returns:
-        The arrivals in order of time. Those of one length class do not
-        depend on the others.
+        The arrivals, ordered by time. Each length class has its own random
+        generator, so its arrivals do not depend on the other classes.
     """
     mean_tokens = sum(
-        part.share * part.mean_tokens for part in PROMPT_LENGTH_MIX
+        length_share.share * length_share.mean_tokens
+        for length_share in PROMPT_LENGTH_MIX
     )
-    total = load * capacity_tokens_per_s * duration_s / mean_tokens
+    total_requests = load * capacity_tokens_per_s * duration_s / mean_tokens
     arrivals = []
-    for part in PROMPT_LENGTH_MIX:
-        count = round(total * part.share)
-        arrivals += _draw(part, count, seed, daemons, duration_s)
+    for length_share in PROMPT_LENGTH_MIX:
+        count = round(total_requests * length_share.share)
+        arrivals += _draw_arrivals(
+            length_share, count, seed, daemons, duration_s
+        )
     return sorted(arrivals, key=lambda arrival: arrival.offset_s)
 
 
-def _draw(
-    part: LengthShare, count: int, seed: int, daemons: int, duration_s: float
+def _draw_arrivals(
+    length_share: LengthShare,
+    count: int,
+    seed: int,
+    daemons: int,
+    duration_s: float,
 ) -> list[Arrival]:
-    source = random.Random(f"{seed}/{part.length_class.name}")
-    width = (part.max_tokens - part.min_tokens) / max(1, count)
+    rng = random.Random(f"{seed}/{length_share.length_class.name}")
+    interval_tokens = (length_share.max_tokens - length_share.min_tokens) / max(
+        1, count
+    )
     lengths = [
-        round(part.min_tokens + (number + source.random()) * width)
+        round(
+            length_share.min_tokens + (number + rng.random()) * interval_tokens
+        )
         for number in range(count)
     ]
-    source.shuffle(lengths)
+    rng.shuffle(lengths)
     return [
         Arrival(
-            offset_s=source.uniform(0, duration_s),
-            length_class=part.length_class,
+            offset_s=rng.uniform(0, duration_s),
+            length_class=length_share.length_class,
             tokens=tokens,
-            daemon_number=source.randrange(daemons),
-            name=f"{seed}/{part.length_class.name}/{number}",
+            daemon_number=rng.randrange(daemons),
+            name=f"{seed}/{length_share.length_class.name}/{number}",
         )
         for number, tokens in enumerate(lengths)
     ]
--- a/src/auburnswitch/experiments/caller.py
+++ b/src/auburnswitch/experiments/caller.py
@@ -1,4 +1,4 @@
-"""A caller that streams completions and measures them."""
+"""Streams completions as a caller and measures their latency."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class CallOutcome:
-    """What a caller saw of one request.
+    """The outcome of one request as its caller observed it.
 
     Attributes:
-        result: Name of the result code, ``ok`` for a whole answer.
-        ran: What the system said of whether the request ran.
-        first_token_s: Time to first token, in seconds; None without one.
-        total_s: Time to the end, in seconds.
+        result: Name of the result code, ``ok`` for a complete answer.
+        ran: Whether the request ran, as reported by the daemon: ``yes``,
+            ``no`` or ``unknown``.
+        first_token_s: Time to first token, in seconds; None if no token
+            was received.
+        total_s: Time to the end of the response, in seconds.
         text: Text of the answer.
-        tokens: Tokens of a whole answer.
-        retry_after_s: When the caller was told to come back, in seconds.
+        tokens: Number of tokens of a complete answer.
+        retry_after_s: Retry delay that the daemon requested, in seconds.
     """
 
     result: str
@@ -43,13 +45,13 @@
     body: Mapping[str, Any],
     headers: Mapping[str, str],
 ) -> CallOutcome:
-    """Streams one completion to its end.
+    """Sends one completion request and reads its stream to the end.
 
     Args:
         session: HTTP client.
         url: Base URL of a daemon's listener for callers.
-        body: The completion request; ``stream`` is set.
-        headers: Request headers, the caller key among them.
+        body: The completion request; ``stream`` is added.
+        headers: Request headers, including the caller key.
 
     Returns:
         The outcome; a broken connection has the result ``broken``.
@@ -63,7 +65,7 @@
             headers=headers,
         ) as response:
             if response.status != 200:
-                _note_error(outcome, await response.json())
+                _record_error(outcome, await response.json())
             else:
                 await _read_stream(response, outcome, started_at)
     except (aiohttp.ClientError, OSError, ValueError):
@@ -76,16 +78,16 @@
     response: aiohttp.ClientResponse, outcome: CallOutcome, started_at: float
 ) -> None:
     texts: list[str] = []
-    ended = False
+    received_done = False
     async for line in response.content:
         payload = line.removeprefix(b"data: ").strip()
         if payload == b"[DONE]":
-            ended = True
+            received_done = True
         if not line.startswith(b"data: {"):
             continue
         frame = json.loads(payload)
         if "error" in frame:
-            _note_error(outcome, frame)
+            _record_error(outcome, frame)
             break
         text = frame["choices"][0].get("text") or ""
         if text and outcome.first_token_s is None:
@@ -94,12 +96,12 @@
         usage = frame.get("usage") or {}
         outcome.tokens = usage.get("completion_tokens", outcome.tokens)
     outcome.text = "".join(texts)
-    if ended:
+    if received_done:
         outcome.result = "ok"
         outcome.ran = "yes"
 
 
-def _note_error(outcome: CallOutcome, body: dict[str, Any]) -> None:
+def _record_error(outcome: CallOutcome, body: dict[str, Any]) -> None:
     error = body["error"]
     outcome.result = error["name"]
     outcome.ran = error["ran"]
--- a/src/auburnswitch/experiments/chaos.py
+++ b/src/auburnswitch/experiments/chaos.py
@@ -1,4 +1,4 @@
-"""Applies actions to a fleet in virtual time and checks what came of them."""
+"""Applies actions to a fleet in virtual time and checks its history."""
 
 from __future__ import annotations
 
@@ -46,12 +46,17 @@
 
 
 class ChaosRun:
-    """A fleet under randomised actions.
+    """Applies randomised actions to a fleet and records its history.
 
     Attributes:
         fleet: The fleet.
-        run_history: What is known for the checker.
-        caller: Sends calls and records them.
+        run_history: The recorded history, as input of the checker.
+        caller: Sends calls and records their outcomes.
+        tasks: Running calls and faults.
+        down_daemons: Numbers of the daemons that are killed or restarting.
+        frozen_daemons: Numbers of the frozen daemons.
+        moving_zones: Zones that are out of service or on their way out or
+            back.
     """
 
     __slots__ = (
@@ -78,27 +83,27 @@
         self.moving_zones: set[str] = set()
 
     async def apply(self, action: actions.Action) -> None:
-        """Applies one action; one that makes no sense now does nothing."""
+        """Applies one action; skips it if the fleet's state rules it out."""
         match action:
             case actions.Wait(seconds=seconds):
                 await asyncio.sleep(seconds)
             case actions.Complete():
-                self._complete(action)
+                self._start_completion(action)
             case actions.Book():
-                self._book(action)
+                self._start_booking(action)
             case actions.KillDaemon() | actions.FreezeDaemon():
-                self._disturb_daemon(action)
+                self._inject_daemon_fault(action)
             case actions.ReplaceDaemon(daemon=number):
-                self._replace(number)
+                self._replace_daemon(number)
             case actions.MoveZone():
-                self._start(self._move_zone(action))
+                self._start_task(self._move_zone(action))
             case actions.RaceTickets(first=first, second=second):
-                self._start(self._race(first, second))
+                self._start_task(self._race_tickets(first, second))
             case _:
-                self._disturb_outside(action)
+                self._inject_external_fault(action)
 
     async def settle(self) -> list[Violation]:
-        """Ends all faults, waits for rest and returns the violations."""
+        """Waits until all faults have ended, then returns all violations."""
         while self.tasks:
             await asyncio.wait(self.tasks)
         await asyncio.sleep(SETTLE_S)
@@ -107,7 +112,7 @@
         return check_run(self.run_history)
 
     def sample(self) -> None:
-        """Notes the configuration that each daemon has in force."""
+        """Records the configuration that each daemon has in force."""
         for daemon in self.fleet.daemons.values():
             ticket_numbers = {
                 f"{kind.name}/{name}": entry.number
@@ -120,17 +125,17 @@
             )
 
     async def sample_periodically(self) -> None:
-        """Samples once a second."""
+        """Samples the configuration every `SAMPLE_INTERVAL_S` seconds."""
         while True:
             self.sample()
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    def _start(self, work: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             raise task.exception() or AssertionError
@@ -138,29 +143,30 @@
     def _daemon(self, number: int) -> Daemon | None:
         return self.fleet.daemons.get(f"entry-{number}")
 
-    def _complete(self, action: actions.Complete) -> None:
+    def _start_completion(self, action: actions.Complete) -> None:
         daemon = self._daemon(action.daemon)
         if daemon is None:
             return
-        marker = "crash-the-engine " if action.crashing else ""
-        first = f"{len(self.caller.records):08d} {marker}"
-        size = action.prompt_tokens * BYTES_PER_TOKEN
-        self._start(
+        crash_marker = "crash-the-engine " if action.crashing else ""
+        prompt_prefix = f"{len(self.caller.records):08d} {crash_marker}"
+        prompt_bytes = action.prompt_tokens * BYTES_PER_TOKEN
+        self._start_task(
             self.caller.complete(
                 self.fleet.caller_url(f"entry-{action.daemon}"),
                 f"entry-{action.daemon}",
                 model=MODEL,
-                prompt=first + "x" * max(0, size - len(first)),
+                prompt=prompt_prefix
+                + "x" * max(0, prompt_bytes - len(prompt_prefix)),
                 tokens=action.answer_tokens,
                 deadline_s=action.deadline_s,
             )
         )
 
-    def _book(self, action: actions.Book) -> None:
+    def _start_booking(self, action: actions.Book) -> None:
         if self._daemon(action.daemon) is None:
             return
         url = self.fleet.caller_url(f"entry-{action.daemon}")
-        self._start(
+        self._start_task(
             self.caller.call_plain(
                 f"{url}/services/{PLAIN_SERVICE}",
                 f"entry-{action.daemon}",
@@ -172,65 +178,65 @@
             )
         )
 
-    def _disturb_daemon(
+    def _inject_daemon_fault(
         self, action: actions.KillDaemon | actions.FreezeDaemon
     ) -> None:
         number = action.daemon
-        busy = self.down_daemons | self.frozen_daemons
-        if self._daemon(number) is None or number in busy:
+        unavailable = self.down_daemons | self.frozen_daemons
+        if self._daemon(number) is None or number in unavailable:
             return
-        loss = DaemonOutage(
+        outage = DaemonOutage(
             daemon=f"entry-{number}",
             began_at=monotonic_s(),
             killed=isinstance(action, actions.KillDaemon),
         )
-        self.run_history.daemon_outages.append(loss)
+        self.run_history.daemon_outages.append(outage)
         match action:
             case actions.KillDaemon(down_s=down_s):
                 self.down_daemons.add(number)
                 self.fleet.kill_daemon(number)
-                self._start(self._start_later(number, down_s, loss))
+                self._start_task(self._restart_after(number, down_s, outage))
             case actions.FreezeDaemon(seconds=seconds):
                 self.frozen_daemons.add(number)
                 self.fleet.freeze_daemon(number)
-                self._start(self._thaw_later(number, seconds, loss))
+                self._start_task(self._thaw_after(number, seconds, outage))
 
-    async def _start_later(
-        self, number: int, seconds: float, loss: DaemonOutage
+    async def _restart_after(
+        self, number: int, seconds: float, outage: DaemonOutage
     ) -> None:
         await asyncio.sleep(seconds)
         await self.fleet.start_daemon(number)
-        loss.recovered_at = monotonic_s()
+        outage.recovered_at = monotonic_s()
         self.down_daemons.discard(number)
 
-    async def _thaw_later(
-        self, number: int, seconds: float, loss: DaemonOutage
+    async def _thaw_after(
+        self, number: int, seconds: float, outage: DaemonOutage
     ) -> None:
         await asyncio.sleep(seconds)
         self.fleet.thaw_daemon(number)
-        loss.recovered_at = monotonic_s()
+        outage.recovered_at = monotonic_s()
         self.frozen_daemons.discard(number)
 
-    def _replace(self, number: int) -> None:
-        busy = self.down_daemons | self.frozen_daemons
-        if self._daemon(number) is None or number in busy:
+    def _replace_daemon(self, number: int) -> None:
+        unavailable = self.down_daemons | self.frozen_daemons
+        if self._daemon(number) is None or number in unavailable:
             return
         self.down_daemons.add(number)
-        self._start(self._replace_now(number))
+        self._start_task(self._restart_gracefully(number))
 
-    async def _replace_now(self, number: int) -> None:
+    async def _restart_gracefully(self, number: int) -> None:
         await self.fleet.stop_daemon(number)
         await self.fleet.start_daemon(number)
         self.down_daemons.discard(number)
 
-    def _disturb_outside(self, action: actions.Action) -> None:
+    def _inject_external_fault(self, action: actions.Action) -> None:
         engines = list(self.fleet.engines.values())
         platform = self.fleet.platform
         match action:
             case actions.CrashEngine(engine=number):
                 engines[number].crash()
             case actions.ColdEngine(engine=number):
-                if not engines[number].cold:  # only what was warm turns cold
+                if not engines[number].cold:  # only a warm engine can turn cold
                     engines[number].turn_cold()
             case actions.FreezeEngine(engine=number, seconds=seconds):
                 engines[number].freeze(seconds)
@@ -240,14 +246,16 @@
                 platform.lose_answers += count
             case actions.PlatformOutage(seconds=seconds):
                 platform.outage = True
-                self._start(self._later(seconds, self._end_outage))
+                self._start_task(self._call_after(seconds, self._end_outage))
             case actions.SlowPlatform(delay_s=delay_s, seconds=seconds):
                 platform.delay_s = delay_s
-                self._start(self._later(seconds, self._end_delay))
+                self._start_task(self._call_after(seconds, self._end_delay))
 
-    async def _later(self, seconds: float, act: Callable[[], None]) -> None:
+    async def _call_after(
+        self, seconds: float, callback: Callable[[], None]
+    ) -> None:
         await asyncio.sleep(seconds)
-        act()
+        callback()
 
     def _end_outage(self) -> None:
         self.fleet.platform.outage = False
@@ -260,31 +268,31 @@
         if zone in self.moving_zones:
             return
         self.moving_zones.add(zone)
-        taken_out = await self._apply_change(
+        taken_out_at = await self._apply_change(
             self.fleet.zone_change(zone, out=True), action.daemon
         )
-        if taken_out is not None:
-            await self._bring_back(action, zone, taken_out)
+        if taken_out_at is not None:
+            await self._return_zone(action, zone, taken_out_at)
         self.moving_zones.discard(zone)
 
-    async def _bring_back(
-        self, action: actions.MoveZone, zone: str, taken_out: float
+    async def _return_zone(
+        self, action: actions.MoveZone, zone: str, taken_out_at: float
     ) -> None:
         periods = [
-            UnschedulablePeriod(endpoint=name, accepted_at=taken_out)
-            for name in self._endpoints_in(zone)
+            UnschedulablePeriod(endpoint=name, accepted_at=taken_out_at)
+            for name in self._endpoints_in_zone(zone)
         ]
         self.run_history.unschedulable_periods += periods
         await asyncio.sleep(action.out_s)
-        for closing in periods:  # the ticket back may be in force at once
-            closing.schedulable_at = monotonic_s()
+        for period in periods:  # the ticket may take effect at once
+            period.schedulable_at = monotonic_s()
         await self._apply_change(
             self.fleet.zone_change(zone),
             action.daemon,
-            tries=APPLY_MAX_ATTEMPTS,
+            max_attempts=APPLY_MAX_ATTEMPTS,
         )
 
-    def _endpoints_in(self, zone: str) -> list[str]:
+    def _endpoints_in_zone(self, zone: str) -> list[str]:
         names = [*self.fleet.engines, *self.fleet.plain]
         return [
             name
@@ -292,7 +300,7 @@
             if self.fleet.zone(number) == zone
         ]
 
-    async def _race(self, first: int, second: int) -> None:
+    async def _race_tickets(self, first: int, second: int) -> None:
         changes = [
             Change(
                 kind=ObjectKind.SERVICE,
@@ -307,15 +315,20 @@
         )
 
     async def _apply_change(
-        self, change: Change, daemon: int, tries: int = 1
+        self, change: Change, daemon: int, max_attempts: int = 1
     ) -> float | None:
-        """Applies a ticket; returns when it was accepted, None if it wasn't."""
+        """Applies a ticket with a bounded number of attempts.
+
+        Returns:
+            Loop time of the acceptance, in seconds; None if no attempt
+            succeeded.
+        """
         ticket = self.fleet.ticket([change])
-        for _ in range(tries):
+        for _ in range(max_attempts):
             names = [f"entry-{daemon}", *self.fleet.daemons]
-            up = [name for name in names if name in self.fleet.daemons]
-            with contextlib.suppress(Exception):  # none may be up
-                await self.fleet.apply(ticket, up[0])
+            running = [name for name in names if name in self.fleet.daemons]
+            with contextlib.suppress(Exception):  # no daemon may be running
+                await self.fleet.apply(ticket, running[0])
                 return monotonic_s()
             await asyncio.sleep(APPLY_RETRY_INTERVAL_S)
         return None
@@ -327,7 +340,7 @@
     connector: Callable[[], aiohttp.BaseConnector],
     options: FleetOptions | None = None,
 ) -> AsyncIterator[ChaosRun]:
-    """Starts a fleet for a randomised run; needs a `FreezableLoop`."""
+    """Starts a fleet for a randomised run; requires a `FreezableLoop`."""
     options = options or FleetOptions(
         engines=actions.ENGINE_COUNT,
         daemons=actions.DAEMON_COUNT,
--- a/src/auburnswitch/experiments/checker.py
+++ b/src/auburnswitch/experiments/checker.py
@@ -1,4 +1,4 @@
-"""Checks the history of a run against what must always hold."""
+"""Checks the history of a run against the invariants of the system."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
     from auburnswitch.experiments.recording_caller import CallRecord
     from auburnswitch.standins.history import History, HistoryRecord
 
-CLOSE_DEADLINE_S: Final = 3.0  # from a ticket's acceptance to the last new work
+CLOSE_DEADLINE_S: Final = 3.0  # from a ticket's acceptance to the last request
 DEADLINE_SLACK_S: Final = 1.0
 INTERNAL_ERROR_RESULT: Final = "internal"
 OVERLOAD_CAUSE: Final = "cold overload"
-COLD_DETECTION_DELAY_S: Final = 5.0  # from the last sign of a cold turn
-MIN_SLOW_ANSWERS: Final = 2  # slow answers that show an unannounced cold turn
+COLD_DETECTION_DELAY_S: Final = 5.0  # from the last of the slow answers
+MIN_SLOW_ANSWERS: Final = 2  # enough to detect an unannounced cold engine
 EXECUTION_KINDS: Final = (HistoryKind.REQUEST_STARTED, HistoryKind.PLAIN_RUN)
 
 
 class RunInvariant(enum.Enum):
-    """What a history must satisfy."""
+    """Invariants that a history must satisfy."""
 
     AT_MOST_ONCE = "a non-idempotent request runs at most once"
-    WHOLE_ANSWER = "a caller receives the whole answer to its own request"
+    WHOLE_ANSWER = "a caller receives the complete answer to its own request"
     NOT_RUN = "a request refused as not run was not run"
-    ENDS_IN_TIME = "an admitted request ends within its time"
+    ENDS_IN_TIME = "an admitted request ends by its deadline"
     ANSWERED = "a request gets a final answer unless its daemon was lost"
     NO_INTERNAL_ERROR = "no request ends by an unexpected error"
-    CLOSED = "an endpoint out of service or leaving receives no new work"
-    COLD_BOUND = "a cold endpoint receives no more than it can bear"
-    MEMORY_FREED = "an engine loses no memory for good"
+    CLOSED = "an endpoint out of service or leaving receives no new requests"
+    COLD_BOUND = "a cold endpoint receives no more than it can handle"
+    MEMORY_FREED = "an engine releases all KV cache memory in the end"
     STATE_MONOTONIC = "a configuration in force never reverts"
 
 
 @dataclass(slots=True, kw_only=True)
 class Violation:
-    """A broken rule and where it broke."""
+    """A violated invariant and a description of the violation."""
 
     invariant: RunInvariant
     detail: str
@@ -49,12 +49,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class UnschedulablePeriod:
-    """A time in which an endpoint was to receive no new work.
+    """A period in which an endpoint must not receive new requests.
 
     Attributes:
-        endpoint: The endpoint.
+        endpoint: Name of the endpoint.
         accepted_at: Loop time of the ticket's acceptance, in seconds.
-        schedulable_at: Loop time at which it could receive work again.
+        schedulable_at: Loop time from which the endpoint may receive requests
+            again, in seconds.
     """
 
     endpoint: str
@@ -64,13 +65,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class DaemonOutage:
-    """A time in which a daemon was killed or frozen.
+    """A period in which a daemon was killed or frozen.
 
     Attributes:
         daemon: Name of the instance.
-        began_at: Loop time at which it was lost, in seconds.
-        recovered_at: Loop time at which it ran again.
-        killed: It was killed, which breaks what runs at it.
+        began_at: Loop time at which the daemon failed, in seconds.
+        recovered_at: Loop time at which the daemon ran again, in seconds.
+        killed: Whether the daemon was killed, which breaks its running calls,
+            rather than frozen.
     """
 
     daemon: str
@@ -81,7 +83,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ConfigSample:
-    """Ticket numbers by object as one daemon had them in force."""
+    """Ticket numbers in force at one daemon, by configuration object."""
 
     member_id: str
     ticket_numbers: dict[str, int] = field(default_factory=dict)
@@ -89,15 +91,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class RunHistory:
-    """Everything that is known of a run.
+    """The recorded history of a run.
 
     Attributes:
-        history: What the stand-ins did.
-        calls: What callers sent and saw.
-        unschedulable_periods: When endpoints were closed.
+        history: Events of the stand-ins.
+        calls: Calls and their outcomes, as recorded by the callers.
+        unschedulable_periods: Periods in which endpoints were out of service.
         samples: Configuration states, in order of time.
-        daemon_outages: When instances were killed or frozen.
-        quiescent: The run has come to rest, so that all memory must be free.
+        daemon_outages: Periods in which daemons were killed or frozen.
+        quiescent: Whether the run has ended all requests, so that all KV
+            cache memory must be free.
     """
 
     history: History
@@ -111,26 +114,26 @@
 
 
 def check_run(run: RunHistory) -> list[Violation]:
-    """Returns every violation found in a run."""
+    """Returns every violation in the history of a run."""
     checks = (
         _check_at_most_once,
         _check_whole_answers,
         _check_not_run,
-        _check_ends,
-        _check_closed,
+        _check_responses,
+        _check_unschedulable,
         _check_cold_bound,
         _check_memory,
-        _check_states,
+        _check_configurations,
     )
     return [violation for check in checks for violation in check(run)]
 
 
-def _runs(run: RunHistory) -> Iterator[HistoryRecord]:
+def _execution_records(run: RunHistory) -> Iterator[HistoryRecord]:
     return run.history.select(*EXECUTION_KINDS)
 
 
-def _caller_id(record: HistoryRecord) -> str:
-    """Returns the caller's part of a request id."""
+def _caller_request_id(record: HistoryRecord) -> str:
+    """Returns the part of a request id that the caller chose."""
     return str(record.fields.get("request_id", "")).partition(".")[0]
 
 
@@ -139,7 +142,7 @@
     by_call: collections.Counter[str] = collections.Counter()
     calls = {call.id: call for call in run.calls if not call.idempotent}
     for record in run.history.select(HistoryKind.PLAIN_RUN):
-        call = calls.get(_caller_id(record))
+        call = calls.get(_caller_request_id(record))
         if call is None:
             continue
         by_call[call.id] += 1
@@ -156,24 +159,24 @@
         outcome = call.outcome
         if outcome is None or not call.expected:
             continue
-        whole = outcome.text == call.expected
-        if outcome.result == "ok" and not whole:
-            detail = f"{call.id} got {outcome.text[:40]!r}"
+        complete = outcome.text == call.expected
+        if outcome.result == "ok" and not complete:
+            detail = f"{call.id} received {outcome.text[:40]!r}"
             yield Violation(invariant=RunInvariant.WHOLE_ANSWER, detail=detail)
         elif not call.expected.startswith(outcome.text):
-            detail = f"{call.id} got a part that is not its own"
+            detail = f"{call.id} received text that is not part of its answer"
             yield Violation(invariant=RunInvariant.WHOLE_ANSWER, detail=detail)
 
 
 def _check_not_run(run: RunHistory) -> Iterator[Violation]:
-    ran = {_caller_id(record) for record in _runs(run)}
+    ran = {_caller_request_id(record) for record in _execution_records(run)}
     for call in run.calls:
         if call.outcome and call.outcome.ran == "no" and call.id in ran:
             detail = f"{call.id} was refused as {call.outcome.result}"
             yield Violation(invariant=RunInvariant.NOT_RUN, detail=detail)
 
 
-def _check_ends(run: RunHistory) -> Iterator[Violation]:
+def _check_responses(run: RunHistory) -> Iterator[Violation]:
     for call in run.calls:
         if call.outcome is None:
             detail = f"{call.id} has no answer"
@@ -185,50 +188,61 @@
                 invariant=RunInvariant.NO_INTERNAL_ERROR, detail=detail
             )
         daemon_outages = [
-            loss for loss in run.daemon_outages if _meets(call, loss)
+            outage
+            for outage in run.daemon_outages
+            if _overlaps_outage(call, outage)
         ]
-        lost = bool(daemon_outages)
-        killed = any(loss.killed for loss in daemon_outages)
+        interrupted = bool(daemon_outages)
+        killed = any(outage.killed for outage in daemon_outages)
         if call.outcome.result == "broken" and not killed:
-            detail = f"{call.id} broke at {call.daemon}"
+            detail = f"{call.id} lost its connection to {call.daemon}"
             yield Violation(invariant=RunInvariant.ANSWERED, detail=detail)
         elif (
-            not lost
+            not interrupted
             and call.outcome.total_s > call.deadline_s + DEADLINE_SLACK_S
         ):
             detail = f"{call.id} took {call.outcome.total_s:.1f} s"
             yield Violation(invariant=RunInvariant.ENDS_IN_TIME, detail=detail)
 
 
-def _meets(call: CallRecord, loss: DaemonOutage) -> bool:
-    """Tells whether a call ran while its daemon was lost."""
+def _overlaps_outage(call: CallRecord, outage: DaemonOutage) -> bool:
+    """Returns whether a call ran during an outage of its daemon."""
     assert call.outcome is not None
     ended_at = call.started_at + call.outcome.total_s
-    in_time = call.started_at <= loss.recovered_at and ended_at >= loss.began_at
-    return call.daemon == loss.daemon and in_time
-
-
-def _check_closed(run: RunHistory) -> Iterator[Violation]:
-    for closing in run.unschedulable_periods:
-        first_s = closing.accepted_at + CLOSE_DEADLINE_S
-        for record in _runs(run):
-            got_at = _received_at(record)
-            late = first_s < got_at < closing.schedulable_at
-            if record.actor == closing.endpoint and late:
-                after_s = got_at - closing.accepted_at
-                detail = f"{closing.endpoint} got work {after_s:.1f} s later"
+    overlaps = (
+        call.started_at <= outage.recovered_at and ended_at >= outage.began_at
+    )
+    return call.daemon == outage.daemon and overlaps
+
+
+def _check_unschedulable(run: RunHistory) -> Iterator[Violation]:
+    for period in run.unschedulable_periods:
+        drain_deadline = period.accepted_at + CLOSE_DEADLINE_S
+        for record in _execution_records(run):
+            received_at = _received_at(record)
+            late = drain_deadline < received_at < period.schedulable_at
+            if record.actor == period.endpoint and late:
+                after_s = received_at - period.accepted_at
+                detail = (
+                    f"{period.endpoint} got a request {after_s:.1f} s later"
+                )
                 yield Violation(invariant=RunInvariant.CLOSED, detail=detail)
 
 
 def _received_at(record: HistoryRecord) -> float:
-    """Returns when work reached an endpoint, which may have been frozen."""
+    """Returns the loop time at which a request reached its endpoint.
+
+    A frozen endpoint starts the request later than that.
+    """
     arrived_s = record.fields.get("arrived_s")
     return record.time_s if arrived_s is None else arrived_s
 
 
 def _check_cold_bound(run: RunHistory) -> Iterator[Violation]:
-    signs: dict[str, list[float]] = {}  # answers since an unannounced turn
-    begun: set[tuple[str, str]] = set()  # what started since then
+    # finish times of answers since an unannounced cold turn, by endpoint
+    slow_answers: dict[str, list[float]] = {}
+    # requests started since then, as (endpoint, request id)
+    started: set[tuple[str, str]] = set()
     kinds = (
         HistoryKind.CRASHED,
         HistoryKind.TURNED_COLD,
@@ -236,21 +250,23 @@
         HistoryKind.REQUEST_FINISHED,
     )
     for record in run.history.select(*kinds):
-        seen = signs.get(record.actor)
-        work = (record.actor, str(record.fields.get("request_id")))
+        answer_times_s = slow_answers.get(record.actor)
+        request = (record.actor, str(record.fields.get("request_id")))
         match record.kind:
             case HistoryKind.TURNED_COLD:
-                signs[record.actor] = []
-                begun = {item for item in begun if item[0] != record.actor}
+                slow_answers[record.actor] = []
+                started = {item for item in started if item[0] != record.actor}
             case HistoryKind.REQUEST_STARTED:
-                begun.add(work)
-            case HistoryKind.REQUEST_FINISHED if seen is not None:
-                if work in begun:
-                    seen.append(record.time_s)
+                started.add(request)
+            case HistoryKind.REQUEST_FINISHED if answer_times_s is not None:
+                if request in started:
+                    answer_times_s.append(record.time_s)
             case HistoryKind.CRASHED:
-                signs.pop(record.actor, None)  # the new start is announced
+                slow_answers.pop(record.actor, None)  # a restart is announced
                 overloaded = record.fields.get("cause") == OVERLOAD_CAUSE
-                if overloaded and _is_known(seen, record.time_s):
+                if overloaded and _must_be_detected(
+                    answer_times_s, record.time_s
+                ):
                     at_s = record.time_s
                     detail = f"{record.actor} was overloaded at {at_s:.1f} s"
                     yield Violation(
@@ -258,26 +274,31 @@
                     )
 
 
-def _is_known(signs: list[float] | None, time_s: float) -> bool:
-    """Tells whether a cold turn must be known; an announced one always is."""
-    if signs is None:
+def _must_be_detected(slow_answers: list[float] | None, time_s: float) -> bool:
+    """Returns whether the cold state of an engine must have been detected.
+
+    An announced cold state, for which no slow answers are recorded, is always
+    detected; an unannounced one `COLD_DETECTION_DELAY_S` after
+    `MIN_SLOW_ANSWERS` slow answers.
+    """
+    if slow_answers is None:
         return True
-    if len(signs) < MIN_SLOW_ANSWERS:
+    if len(slow_answers) < MIN_SLOW_ANSWERS:
         return False
-    return time_s >= signs[MIN_SLOW_ANSWERS - 1] + COLD_DETECTION_DELAY_S
+    return time_s >= slow_answers[MIN_SLOW_ANSWERS - 1] + COLD_DETECTION_DELAY_S
 
 
 def _check_memory(run: RunHistory) -> Iterator[Violation]:
     if not run.quiescent:
         return
-    held: dict[str, dict[Any, HistoryRecord]] = {}
+    unreleased: dict[str, dict[Any, HistoryRecord]] = {}
     kinds = (
         HistoryKind.MEMORY_TAKEN,
         HistoryKind.MEMORY_FREED,
         HistoryKind.CRASHED,
     )
     for record in run.history.select(*kinds):
-        memory = held.setdefault(record.actor, {})
+        memory = unreleased.setdefault(record.actor, {})
         name = (record.fields.get("request_id"), record.fields.get("attempt"))
         match record.kind:
             case HistoryKind.MEMORY_TAKEN:
@@ -286,19 +307,21 @@
                 memory.pop(name, None)
             case HistoryKind.CRASHED:
                 memory.clear()
-    for actor, memory in held.items():
+    for actor, memory in unreleased.items():
         for name in memory:
-            detail = f"{actor} still holds {name}"
+            detail = f"{actor} has not released the memory of {name}"
             yield Violation(invariant=RunInvariant.MEMORY_FREED, detail=detail)
 
 
-def _check_states(run: RunHistory) -> Iterator[Violation]:
+def _check_configurations(run: RunHistory) -> Iterator[Violation]:
     newest: dict[tuple[str, str], int] = {}
     for sample in run.samples:
         for name, number in sample.ticket_numbers.items():
             key = (sample.member_id, name)
             if number < newest.get(key, 0):
-                detail = f"{sample.member_id} went back to {number} for {name}"
+                detail = (
+                    f"{sample.member_id} reverted {name} to ticket {number}"
+                )
                 yield Violation(
                     invariant=RunInvariant.STATE_MONOTONIC, detail=detail
                 )
--- a/src/auburnswitch/experiments/claims_cost.py
+++ b/src/auburnswitch/experiments/claims_cost.py
@@ -1,7 +1,8 @@
-"""Measures claims a second and store writes per claim.
+"""Measures claim throughput and store writes per claim.
 
-Compares claims that are committed in groups with one object for each claim
-and a second write for its outcome, on the same stand-in and arrivals.
+Compares claims that are committed in groups with a baseline that writes one
+object per claim and writes it again for the outcome, on the same platform
+stand-in and arrivals.
 
 Usage: python -m auburnswitch.experiments.claims_cost [--seconds 4]
 """
@@ -47,28 +48,28 @@
 SERVICE_TIME_S: Final = 0.05
 RATES_PER_S: Final = (20, 100, 400, 1200)
 ANSWER_BODY: Final = b'{"id": "b1", "slot": "09:00"}' * 4
-_HEAD: Final = (
+_TABLE_HEADER: Final = (
     "store     offered/s  claimed/s  refused  writes/claim  conflicts  "
     "bytes/claim  p50 ms  p95 ms"
 )
 
 
 class ClaimBackend(Protocol):
-    """What both kinds of claim store offer."""
+    """The interface that both claim stores implement."""
 
     async def claim(
         self, key_hash: str, request_hash: str, *, time_left_s: float
     ) -> ClaimOutcome | None:
-        """Claims a key."""
+        """Claims an idempotency key."""
 
     async def record(
         self, claim: Claim, status: int, content_type: str, body: bytes
     ) -> None:
-        """Records an answer."""
+        """Records the response of a claimed request."""
 
 
 class PerObjectClaimBackend:
-    """The baseline: creates an object for a claim and writes it again."""
+    """Baseline that stores each claim as one object and rewrites it once."""
 
     __slots__ = ("store",)
 
@@ -95,7 +96,7 @@
     async def record(
         self, claim: Claim, status: int, content_type: str, body: bytes
     ) -> None:
-        """Writes the claim again with its answer."""
+        """Rewrites the claim's object with the response."""
         claim.state, claim.status = ClaimState.DONE, status
         claim.content_type, claim.body = content_type, body.decode()
         await self.store.put(
@@ -106,33 +107,34 @@
 
 
 class BookingLoad:
-    """Bookings that arrive at a rate at all daemons.
+    """Generates bookings at a given rate, spread over all daemons.
 
     Attributes:
-        latencies_s: Time that each claim took, in seconds.
-        refused: Claims that failed.
+        latencies_s: Latency of each successful claim, in seconds.
+        refused: Number of failed claims.
+        rng: Random generator of arrival times, keys and daemons.
     """
 
-    __slots__ = ("latencies_s", "random", "refused")
+    __slots__ = ("latencies_s", "refused", "rng")
 
     def __init__(self) -> None:
         self.latencies_s: list[float] = []
         self.refused = 0
-        self.random = random.Random(1)
+        self.rng = random.Random(1)
 
     async def run(
         self, claims: list[ClaimBackend], rate: float, seconds: float
     ) -> float:
-        """Offers bookings; returns the time until the last had ended."""
+        """Sends bookings; returns the time until the last ended, in seconds."""
         started = time.perf_counter()
         async with asyncio.TaskGroup() as group:
             at_s = 0.0
-            while (at_s := at_s + self.random.expovariate(rate)) < seconds:
+            while (at_s := at_s + self.rng.expovariate(rate)) < seconds:
                 wait_s = started + at_s - time.perf_counter()
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
-                key = hash_key("team", "service", str(self.random.random()))
-                group.create_task(self._book(self.random.choice(claims), key))
+                key = hash_key("team", "service", str(self.rng.random()))
+                group.create_task(self._book(self.rng.choice(claims), key))
         return time.perf_counter() - started
 
     async def _book(self, claims: ClaimBackend, key: str) -> None:
@@ -150,7 +152,7 @@
 async def open_claim_stores(
     platform: PlatformStandIn, *, grouped: bool
 ) -> AsyncIterator[list[ClaimBackend]]:
-    """Opens the claim stores of all daemons."""
+    """Opens one claim store per daemon."""
     async with contextlib.AsyncExitStack() as stack:
         tasks = await stack.enter_async_context(open_task_set())
         stores: list[ClaimBackend] = []
@@ -179,24 +181,25 @@
             )
             stores.append(claims)
         if grouped:
-            _connect(stores)
+            _connect_stores(stores)
         yield stores
 
 
-def _connect(stores: list[Any]) -> None:
-    """Lets each store's shards be committed by one of the stores.
+def _connect_stores(stores: list[Any]) -> None:
+    """Makes every store forward a shard's changes to one committing store.
 
-    A call to another daemon takes the time of a round trip.
+    Each forwarded change is delayed by `PEER_DELAY_S`, one round trip between
+    daemons.
     """
 
     async def forward(
         shard: str, pending: PendingChange
     ) -> ClaimOutcome | None:
-        home = stores[zlib.crc32(shard.encode()) % len(stores)]
+        committer = stores[zlib.crc32(shard.encode()) % len(stores)]
         await asyncio.sleep(PEER_DELAY_S)
-        there = PendingChange(change=pending.change, for_peer=True)
-        outcome = await home.commit_for_peer(there, 1.0)
-        pending.written = there.written
+        peer_change = PendingChange(change=pending.change, for_peer=True)
+        outcome = await committer.commit_for_peer(peer_change, 1.0)
+        pending.written = peer_change.written
         return None if isinstance(outcome, ClaimUnavailable) else outcome
 
     for store in stores:
@@ -204,7 +207,13 @@
 
 
 async def measure(rate: float, seconds: float, *, grouped: bool) -> str:
-    """Offers one rate to one kind of claim store; returns a row."""
+    """Measures one claim store at one rate; returns a table row.
+
+    Args:
+        rate: Offered bookings per second.
+        seconds: Time over which bookings arrive, in seconds.
+        grouped: Commit claims in groups instead of one object per claim.
+    """
     async with (
         open_platform() as platform,
         open_claim_stores(platform, grouped=grouped) as stores,
@@ -213,22 +222,24 @@
         load = BookingLoad()
         took_s = await load.run(stores, rate, seconds)
         claimed = len(load.latencies_s)
-        values = sorted(load.latencies_s) or [0.0]
-        sizes = [len(str(o.value)) for o in platform.store.objects.values()]
+        latencies_s = sorted(load.latencies_s) or [0.0]
+        sizes_bytes = [
+            len(str(stored.value)) for stored in platform.store.objects.values()
+        ]
         return (
             f"{'grouped' if grouped else 'one each':8}  {rate:9}  "
             f"{claimed / took_s:9.0f}  {load.refused:7}  "
             f"{platform.calls['put'] / max(1, claimed):12.2f}  "
             f"{platform.statuses[412]:9}  "
-            f"{sum(sizes) / max(1, claimed):11.0f}  "
-            f"{1000 * values[len(values) // 2]:6.1f}  "
-            f"{1000 * values[len(values) * 95 // 100]:6.1f}"
+            f"{sum(sizes_bytes) / max(1, claimed):11.0f}  "
+            f"{1000 * latencies_s[len(latencies_s) // 2]:6.1f}  "
+            f"{1000 * latencies_s[len(latencies_s) * 95 // 100]:6.1f}"
         )
 
 
 async def run_all(seconds: float) -> None:
-    """Prints a row for each rate and kind."""
-    print(_HEAD)
+    """Prints a table row for each rate and claim store."""
+    print(_TABLE_HEADER)
     for rate in RATES_PER_S:
         for grouped in (False, True):
             print(await measure(rate, seconds, grouped=grouped), flush=True)
@@ -238,7 +249,7 @@
     """Runs the measurement.
 
     Args:
-        seconds: Time that each rate is offered.
+        seconds: Time over which bookings arrive at each rate, in seconds.
     """
     asyncio.run(run_all(min(seconds, 60.0)))
 
--- a/src/auburnswitch/experiments/control_cost.py
+++ b/src/auburnswitch/experiments/control_cost.py
@@ -1,9 +1,9 @@
-"""Measures what heartbeats cost by number of daemons.
+"""Measures the cost of heartbeats by number of daemons.
 
-Prints, for each number of daemons in one process and in virtual time, the
-heartbeat calls and bytes that one daemon sends in a second, and the processor
-time that the whole exchange takes from one daemon in a second of its life. The
-daemons have a roster, hold no requests and own no endpoints.
+Runs each number of daemons in one process and in virtual time. Prints the
+heartbeat frames and bytes that one daemon sends per second, and the CPU time
+that the heartbeat exchange costs one daemon per second of virtual time. The
+daemons have a roster, no requests and no endpoints.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 DAEMON_COUNTS: Final = (3, 9, 27)
 
 
-class FrameMeter:
-    """Counts the frames and bytes that are sent in the process.
+class FrameCounter:
+    """Counts the frames and bytes that all daemons of the process send.
 
     Attributes:
-        frames: Frames sent.
-        sent_bytes: Their size.
+        frames: Number of frames sent.
+        sent_bytes: Total size of the frames, in bytes.
     """
 
     __slots__ = ("frames", "sent_bytes")
@@ -44,20 +44,20 @@
         self.sent_bytes = 0
 
     def install(self) -> None:
-        """Counts all frames from now on."""
+        """Wraps `FrameWriter.encode` so that all further frames are counted."""
         encode = FrameWriter.encode
 
-        def counted(writer: FrameWriter, envelope: Envelope) -> bytes:
+        def counting_encode(writer: FrameWriter, envelope: Envelope) -> bytes:
             frame = encode(writer, envelope)
             self.frames += 1
             self.sent_bytes += len(frame)
             return frame
 
-        FrameWriter.encode = counted  # type: ignore[method-assign]
+        FrameWriter.encode = counting_encode  # type: ignore[method-assign]
 
 
-async def measure(daemons: int, meter: FrameMeter) -> list[float]:
-    """Returns frames, bytes and processor seconds per daemon and second."""
+async def measure(daemons: int, counter: FrameCounter) -> list[float]:
+    """Returns frames, bytes and CPU seconds per daemon and second."""
     options = FleetOptions(
         engines=0,
         plain_services=0,
@@ -66,31 +66,39 @@
     )
     async with open_fleet(options):
         await asyncio.sleep(SETTLE_S)
-        frames, sent_bytes = meter.frames, meter.sent_bytes
+        frames, sent_bytes = counter.frames, counter.sent_bytes
         started_s = time.process_time()
         await asyncio.sleep(MEASURE_S)
-        spent_s = time.process_time() - started_s
-        share = daemons * MEASURE_S
+        cpu_s = time.process_time() - started_s
+        daemon_seconds = daemons * MEASURE_S
         return [
-            (meter.frames - frames) / share,
-            (meter.sent_bytes - sent_bytes) / share,
-            spent_s / share,
+            (counter.frames - frames) / daemon_seconds,
+            (counter.sent_bytes - sent_bytes) / daemon_seconds,
+            cpu_s / daemon_seconds,
         ]
 
 
 def main(*daemons: int) -> None:
-    """Prints a table for some numbers of daemons."""
-    meter = FrameMeter()
-    meter.install()
+    """Prints a table with a row per number of daemons.
+
+    Args:
+        *daemons: Numbers of daemons; `DAEMON_COUNTS` if empty.
+    """
+    counter = FrameCounter()
+    counter.install()
     print("| Daemons | Frames/s | Bytes/s | Core share |")
     print("|---|---|---|---|")
     for number in daemons or DAEMON_COUNTS:
-        frames, sent, core = run_virtual(lambda n=number: measure(n, meter))
-        print(f"| {number} | {frames:.1f} | {sent:.0f} | {core:.2%} |")
+        frames, bytes_per_s, cpu_share = run_virtual(
+            lambda n=number: measure(n, counter)
+        )
+        print(
+            f"| {number} | {frames:.1f} | {bytes_per_s:.0f} | {cpu_share:.2%} |"
+        )
 
 
 if __name__ == "__main__":
     fire.Fire(main)
 
 
-__all__ = ["FrameMeter", "main", "measure"]
+__all__ = ["FrameCounter", "main", "measure"]
--- a/src/auburnswitch/experiments/demo.py
+++ b/src/auburnswitch/experiments/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a small fleet in one process and a few requests through it."""
+"""Demo that runs a small fleet in one process and sends a few requests."""
 
 from __future__ import annotations
 
@@ -35,11 +35,12 @@
     *,
     connector: Callable[[], aiohttp.BaseConnector] | None = None,
 ) -> None:
-    """Starts a fleet, sends requests through it and shows the answers.
+    """Starts a fleet, sends requests through it and shows the results.
 
     Args:
-        show: Shows one line.
-        connector: Makes the connectors of HTTP clients.
+        show: Prints one line.
+        connector: Creates the connectors of HTTP clients; None for the default
+            connector.
     """
     show("Starting a platform, two engines, a booking service, three daemons")
     options = FleetOptions(
@@ -59,7 +60,7 @@
 async def show_completion(
     fleet: Fleet, label: str, prompt: str, show: Callable[[str], None]
 ) -> None:
-    """Streams one completion and shows its times."""
+    """Streams one completion and shows its result and latency."""
     body = {"model": MODEL, "prompt": prompt, "max_tokens": ANSWER_TOKENS}
     url = fleet.caller_url("entry-0")
     outcome = await stream_completion(
@@ -76,7 +77,7 @@
 
 
 async def show_booking(fleet: Fleet, show: Callable[[str], None]) -> None:
-    """Sends a booking twice with one key, to two daemons."""
+    """Sends a booking with one idempotency key through two daemons."""
     for instance in ("entry-1", "entry-2"):
         url = fleet.caller_url(instance)
         async with fleet.session.post(
@@ -96,7 +97,7 @@
 
 
 async def show_zone_move(fleet: Fleet, show: Callable[[str], None]) -> None:
-    """Takes a zone out, sends a request and brings the zone back."""
+    """Takes a zone out of service and back, with a request after each step."""
     zone = ZONES[0]
     for out in (True, False):
         note = "out of service" if out else "back in service"
--- a/src/auburnswitch/experiments/determinism.py
+++ b/src/auburnswitch/experiments/determinism.py
@@ -1,4 +1,4 @@
-"""Makes runs repeatable whose program draws ids or reads the wall clock."""
+"""Makes runs of code that draws random ids or reads the clock repeatable."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @contextlib.contextmanager
 def seeded_ids_and_clock(seed: int) -> Iterator[None]:
-    """Draws ids from a seed and derives wall-clock time from virtual time."""
+    """Replaces random ids by seeded ones and the wall clock by virtual time."""
     rng = random.Random(seed)
 
     def token_hex(size: int = 32) -> str:
@@ -35,7 +35,7 @@
     try:
         return EPOCH_S + asyncio.get_running_loop().time()
     except RuntimeError:
-        return EPOCH_S  # the loop ends
+        return EPOCH_S  # no loop is running
 
 
 __all__ = ["seeded_ids_and_clock"]
--- a/src/auburnswitch/experiments/entry_caller.py
+++ b/src/auburnswitch/experiments/entry_caller.py
@@ -1,4 +1,4 @@
-"""A caller of the operators' routes that streams answers and measures them."""
+"""Streams answers from the operators' routes and measures their latency."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 DEADLINE_MS: Final = 15_000
 _HTTP_OK: Final = 200
-_MAY_HAVE_RUN: Final = (502, 504)
+_OUTCOME_UNKNOWN_STATUSES: Final = (502, 504)
 
-_numbers = itertools.count(1)
+_request_numbers = itertools.count(1)
 
 
 @dataclass(slots=True, kw_only=True)
 class StreamRequest:
-    """A request whose answer is a stream of events.
+    """A request whose response is a stream of server-sent events.
 
     Attributes:
         path: Path of the route.
-        prompt_tokens: Length of the prompt.
-        answer_tokens: Length of the answer.
+        prompt_tokens: Length of the prompt, in tokens.
+        answer_tokens: Length of the answer, in tokens.
         caller_key: The caller's key.
-        host: Host that the operators' routes name.
+        host: Host name of the route.
     """
 
     path: str
@@ -44,7 +44,7 @@
 async def stream_events(
     session: aiohttp.ClientSession, url: str, request: StreamRequest
 ) -> CallOutcome:
-    """Streams the answer of one request to its end.
+    """Sends one request and reads its event stream to the end.
 
     Args:
         session: HTTP client.
@@ -52,13 +52,13 @@
         request: The request.
 
     Returns:
-        The outcome, with the number of events as its tokens; a broken
-        connection has the result ``broken``.
+        The outcome, which counts events as tokens; a broken connection has
+        the result ``broken``.
     """
     outcome = CallOutcome(result="broken", ran="unknown")
     started_at = monotonic_s()
     headers = request_headers(
-        f"load-{os.getpid()}-{next(_numbers)}",
+        f"load-{os.getpid()}-{next(_request_numbers)}",
         request.caller_key,
         deadline_ms=DEADLINE_MS,
         tokens=f"{request.prompt_tokens},{request.answer_tokens}",
@@ -71,7 +71,7 @@
             if response.status == _HTTP_OK and is_signed(response.headers):
                 await _read_events(response, outcome, started_at)
             else:
-                _note_refusal(outcome, response)
+                _record_refusal(outcome, response)
     except (aiohttp.ClientError, OSError):
         outcome.result = "broken"
     outcome.total_s = monotonic_s() - started_at
@@ -91,11 +91,13 @@
     outcome.ran = "yes"
 
 
-def _note_refusal(
+def _record_refusal(
     outcome: CallOutcome, response: aiohttp.ClientResponse
 ) -> None:
     outcome.result = f"status {response.status}"
-    outcome.ran = "unknown" if response.status in _MAY_HAVE_RUN else "no"
+    outcome.ran = (
+        "unknown" if response.status in _OUTCOME_UNKNOWN_STATUSES else "no"
+    )
     if "Retry-After" in response.headers:
         outcome.retry_after_s = float(response.headers["Retry-After"])
 
--- a/src/auburnswitch/experiments/entry_demo.py
+++ b/src/auburnswitch/experiments/entry_demo.py
@@ -1,4 +1,4 @@
-"""The demo of entry daemons: an installation and a few requests through it."""
+"""Demo that runs entry daemons on loopback and sends a few requests."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 SHORT_TOKENS: Final = 5_000
 LONG_TOKENS: Final = 45_000
-MULTI_ENGINE_TOKENS: Final = 80_000  # more than one engine's memory
-INFEASIBLE_TOKENS: Final = 900_000  # more than all engines' memory
+MULTI_ENGINE_TOKENS: Final = 80_000  # exceeds one engine's KV cache
+INFEASIBLE_TOKENS: Final = 900_000  # exceeds the KV cache of all engines
 ANSWER_TOKENS: Final = 50
 
 
 async def run_entry_demo(show: Callable[[str], None] = print) -> None:
-    """Starts an installation, sends requests through it and shows the answers.
+    """Starts an installation, sends requests through it and shows the results.
 
     Args:
-        show: Shows one line.
+        show: Prints one line.
     """
     show("Starting a store, three engines, two desks, two entry daemons")
     async with open_installation(engines=3, daemons=2) as fleet:
@@ -43,7 +43,7 @@
         await _show_stream(
             fleet, "a prompt over all memory", INFEASIBLE_TOKENS, show
         )
-        await _show_resumed(fleet, show)
+        await _show_resumed_streams(fleet, show)
         await _show_booking(fleet, show)
         await _show_revoked_key(fleet, show)
     show("Done")
@@ -64,25 +64,25 @@
     )
     outcome = await stream_events(fleet.session, fleet.url(), request)
     if outcome.first_token_s is None:
-        back = (
+        retry_note = (
             "need not come back"
             if outcome.retry_after_s is None
             else f"may come back after {outcome.retry_after_s} s"
         )
         show(
             f"{label}: {outcome.result} after {outcome.total_s:.2f} s,"
-            f" ran: {outcome.ran}, {back}"
+            f" ran: {outcome.ran}, {retry_note}"
         )
         return
-    sends = len(fleet.arrivals) - before
+    send_count = len(fleet.arrivals) - before
     show(
         f"{label}: {outcome.result}, first event after"
         f" {outcome.first_token_s:.2f} s, {outcome.tokens} events,"
-        f" sent to an engine {sends} times"
+        f" sent to an engine {send_count} times"
     )
 
 
-async def _show_resumed(
+async def _show_resumed_streams(
     fleet: LoopbackInstallation, show: Callable[[str], None]
 ) -> None:
     for name, runner in fleet.runners.items():
--- a/src/auburnswitch/experiments/failures.py
+++ b/src/auburnswitch/experiments/failures.py
@@ -1,4 +1,4 @@
-"""Collects what daemons of this process log about faults of their own."""
+"""Collects internal errors that the daemons of this process log."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class FailureLogHandler(logging.Handler):
-    """Keeps unexpected errors and violated invariants.
+    """Collects log events of failed tasks and violated invariants.
 
     Attributes:
-        problems: One line for each.
+        problems: One line per log event.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self.problems: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keeps one event."""
+        """Adds a line for a failure event and ignores other events."""
         event = getattr(record, "event", 0)
         if event not in FAILURE_EVENTS:
             return
@@ -44,7 +44,7 @@
 
 @contextlib.contextmanager
 def collect_failures() -> Iterator[FailureLogHandler]:
-    """Yields a handler that collects until the context ends."""
+    """Yields a handler that collects failures until the context ends."""
     handler = FailureLogHandler()
     LOGGER.addHandler(handler)
     try:
--- a/src/auburnswitch/experiments/fleet.py
+++ b/src/auburnswitch/experiments/fleet.py
@@ -1,4 +1,4 @@
-"""Runs stand-ins and daemons on one event loop."""
+"""Runs a fleet of stand-ins and daemons on one event loop."""
 
 from __future__ import annotations
 
@@ -53,22 +53,23 @@
 
 @dataclass(slots=True, kw_only=True)
 class FleetOptions:
-    """What a fleet consists of.
+    """Size and options of a fleet.
 
     Attributes:
         engines: Number of model engines.
         daemons: Number of daemons.
-        plain_services: Number of runners of the plain service.
-        zones: Availability zones, used in turn.
+        plain_services: Number of replicas of the plain service.
+        zones: Availability zones, assigned round robin.
         engine: Options of every engine.
-        endpoint: Endpoint values that differ from the defaults.
-        customize_settings: Changes each daemon's settings before it starts.
-        connector: Makes the connectors of HTTP clients.
+        endpoint: Endpoint fields that differ from the defaults.
+        customize_settings: Modifies a daemon's settings before it starts.
+        connector: Creates the connectors of HTTP clients; None for the default
+            connector.
         daemon_options: Returns further arguments of ``open_daemon`` for an
             instance.
-        strict_invariants: Raise when an invariant does not hold.
-        base_port: First port of the daemons; 0 takes free ones.
-        keep_frames: Keep the engines' records of sent frames.
+        strict_invariants: Raise an error when an invariant is violated.
+        base_port: First port of the daemons; 0 uses free ports.
+        keep_frames: Keep the engines' history records of sent frames.
     """
 
     engines: int = 2
@@ -93,8 +94,8 @@
     """A running fleet.
 
     Attributes:
-        options: What it consists of.
-        history: What the stand-ins did.
+        options: Size and options of the fleet.
+        history: Events of the stand-ins.
         platform: The platform stand-in.
         engines: Engine stand-ins by endpoint name.
         plain: Plain service stand-ins by endpoint name.
@@ -108,12 +109,12 @@
         "folder",
         "history",
         "incarnations",
-        "killed",
+        "killed_daemons",
         "next_ticket",
         "options",
         "plain",
         "platform",
-        "running",
+        "running_daemons",
         "session",
         "stack",
     )
@@ -137,13 +138,13 @@
         self.engines: dict[str, EngineStandIn] = {}
         self.plain: dict[str, PlainServiceStandIn] = {}
         self.daemons: dict[str, Daemon] = {}
-        self.running: dict[str, RunningDaemon] = {}
-        self.killed: list[RunningDaemon] = []
+        self.running_daemons: dict[str, RunningDaemon] = {}
+        self.killed_daemons: list[RunningDaemon] = []
         self.incarnations = 0
         self.next_ticket = 1
 
     def zone(self, number: int) -> str:
-        """Returns the zone of the n-th engine, service or daemon."""
+        """Returns the zone of the n-th endpoint or daemon."""
         return self.options.zones[number % len(self.options.zones)]
 
     async def start_engine(self, number: int) -> None:
@@ -160,14 +161,14 @@
         )
 
     async def start_plain_service(self, number: int) -> None:
-        """Starts the n-th runner of the plain service."""
+        """Starts the n-th replica of the plain service."""
         name = f"bookings-{number}"
         self.plain[name] = await self.stack.enter_async_context(
             open_plain_service(host=HOST, name=name, history=self.history)
         )
 
     async def start_daemon(self, number: int) -> Daemon:
-        """Starts the n-th daemon, or starts it again."""
+        """Starts or restarts the n-th daemon."""
         instance = f"entry-{number}"
         self.platform.instances.set(instance, self.zone(number))
         options: dict[str, Any] = {
@@ -180,37 +181,41 @@
         await running.start(
             open_daemon(self.daemon_settings(number), **options)
         )
-        self.running[instance] = running
+        self.running_daemons[instance] = running
         self.daemons[instance] = running.daemon
         return running.daemon
 
     async def stop_daemon(self, number: int, *, graceful: bool = True) -> None:
-        """Stops the n-th daemon, in order or at once."""
+        """Stops the n-th daemon, gracefully or at once."""
         instance = f"entry-{number}"
         del self.daemons[instance]
-        await self.running.pop(instance).stop(graceful=graceful)
+        await self.running_daemons.pop(instance).stop(graceful=graceful)
 
     def kill_daemon(self, number: int) -> None:
-        """Ends the n-th daemon as SIGKILL does; needs a `FreezableLoop`."""
+        """Kills the n-th daemon like SIGKILL; requires a `FreezableLoop`."""
         instance = f"entry-{number}"
         del self.daemons[instance]
-        running = self.running.pop(instance)
+        running = self.running_daemons.pop(instance)
         _freezable_loop().kill(running.process_name)
-        self.killed.append(running)
+        self.killed_daemons.append(running)
 
     def freeze_daemon(self, number: int) -> None:
-        """Stops the n-th daemon as SIGSTOP does; needs a `FreezableLoop`."""
-        _freezable_loop().freeze(self.running[f"entry-{number}"].process_name)
+        """Freezes the n-th daemon like SIGSTOP; requires a `FreezableLoop`."""
+        _freezable_loop().freeze(
+            self.running_daemons[f"entry-{number}"].process_name
+        )
 
     def thaw_daemon(self, number: int) -> None:
-        """Lets a frozen daemon go on."""
-        _freezable_loop().thaw(self.running[f"entry-{number}"].process_name)
+        """Resumes the frozen n-th daemon like SIGCONT."""
+        _freezable_loop().thaw(
+            self.running_daemons[f"entry-{number}"].process_name
+        )
 
     async def close(self) -> None:
-        """Ends all daemons, the killed ones included."""
-        for running in self.killed:
+        """Aborts all daemons, including the tasks of killed ones."""
+        for running in self.killed_daemons:
             _freezable_loop().thaw(running.process_name)
-        for running in [*self.running.values(), *self.killed]:
+        for running in [*self.running_daemons.values(), *self.killed_daemons]:
             await running.abort()
 
     def daemon_settings(self, number: int) -> Settings:
@@ -236,10 +241,14 @@
         return Ticket(number=number, author="demo", note=note, changes=changes)
 
     async def apply(self, ticket: Ticket, instance: str = "") -> dict[str, Any]:
-        """Sends a ticket to a daemon.
+        """Applies a ticket through a daemon and returns the response body.
+
+        Args:
+            ticket: The ticket.
+            instance: Instance name of the daemon; empty for the first one.
 
         Raises:
-            RuntimeError: The daemon refused it.
+            RuntimeError: The daemon refused the ticket.
         """
         daemon = self.daemons[instance or next(iter(self.daemons))]
         url = f"{_url(daemon.operators)}/tickets"
@@ -253,7 +262,7 @@
         return body
 
     def initial_changes(self) -> list[Change]:
-        """Returns the changes that configure the whole fleet."""
+        """Returns the changes that configure all objects of the fleet."""
         digest = hashlib.sha256(CALLER_KEY.encode()).hexdigest()
         team = Team(key_digests=[digest])
         model = Service(kind=ServiceKind.MODEL)
@@ -264,8 +273,8 @@
             Change(kind=ObjectKind.SERVICE, name=PLAIN_SERVICE, service=plain),
         ]
         changes += [self.zone_change(zone) for zone in self.options.zones]
-        runners = [*self.engines.items(), *self.plain.items()]
-        for number, (name, standin) in enumerate(runners):
+        standins = [*self.engines.items(), *self.plain.items()]
+        for number, (name, standin) in enumerate(standins):
             service = MODEL if name in self.engines else PLAIN_SERVICE
             changes.append(
                 self._endpoint_change(name, standin.url, service, number)
@@ -273,7 +282,7 @@
         return changes
 
     def zone_change(self, zone: str, *, out: bool = False) -> Change:
-        """Returns the change that takes a zone out or brings it back."""
+        """Returns the change that takes a zone out of service or back in."""
         return Change(
             kind=ObjectKind.AVAILABILITY_ZONE,
             name=zone,
@@ -294,26 +303,28 @@
         return Change(kind=ObjectKind.ENDPOINT, name=name, endpoint=endpoint)
 
     async def wait_until_converged(self) -> None:
-        """Waits until all daemons have one configuration and are ready.
+        """Waits until all daemons are ready with the same configuration.
 
         Raises:
-            TimeoutError: It took too long.
+            TimeoutError: They did not converge within `READY_TIMEOUT_S`.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while not self._in_force():
+            while not self._has_converged():
                 await asyncio.sleep(READY_POLL_INTERVAL_S)
 
-    def _in_force(self) -> bool:
+    def _has_converged(self) -> bool:
         daemons = self.daemons.values()
         digests = {daemon.state.digest for daemon in daemons}
-        live = {len(daemon.view.live_ids()) for daemon in daemons}
+        live_counts = {len(daemon.view.live_ids()) for daemon in daemons}
         ready = all(
             daemon.get_admission_refusal() is None for daemon in daemons
         )
-        return ready and len(digests) == 1 and live == {len(self.daemons)}
+        return (
+            ready and len(digests) == 1 and live_counts == {len(self.daemons)}
+        )
 
     def caller_url(self, instance: str) -> str:
-        """Returns the base URL for callers of a daemon."""
+        """Returns the base URL of a daemon's listener for callers."""
         return _url(self.daemons[instance].callers)
 
 
@@ -324,7 +335,7 @@
 
 @contextlib.asynccontextmanager
 async def open_fleet(options: FleetOptions) -> AsyncIterator[Fleet]:
-    """Starts a fleet, configures it and waits until it is in force."""
+    """Starts a fleet, configures it and waits until it has converged."""
     connector = options.connector() if options.connector else None
     async with contextlib.AsyncExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
--- a/src/auburnswitch/experiments/freezable_loop.py
+++ b/src/auburnswitch/experiments/freezable_loop.py
@@ -1,8 +1,9 @@
-"""A virtual-time loop on which parts of a program can be frozen and thawed.
+"""Virtual-time event loop that can freeze, thaw and kill simulated processes.
 
-A part is named by a context variable that its tasks inherit. While the part is
-frozen none of its callbacks run, as in a stopped process: sockets stay open,
-bytes wait to be read, timers run late, and the clock has gone on at the thaw.
+A simulated process is named by a context variable that its tasks inherit. While
+it is frozen none of its callbacks run, as in a process stopped by SIGSTOP: its
+sockets stay open, received bytes stay unread, timers fire late, and the clock
+advances.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 
 
 class FreezableLoop(VirtualLoop):
-    """Holds back the callbacks of frozen parts.
+    """Defers the callbacks of frozen simulated processes.
 
     Attributes:
-        deferred_callbacks: Callbacks held back, by the part's name.
-        deferred_timers: Timers that have run out meanwhile, by the part's name.
+        deferred_callbacks: Deferred callbacks, by name of the frozen process.
+        deferred_timers: Timers that expired while frozen, by process name.
     """
 
     def __init__(self) -> None:
@@ -40,28 +41,28 @@
         self.deferred_timers: dict[str, list[DeferredTimer]] = {}
 
     def freeze(self, process_name: str) -> None:
-        """Stops a part."""
+        """Defers a process's callbacks and stops polling its sockets."""
         self.deferred_callbacks.setdefault(process_name, collections.deque())
         self._selector.suspend(
-            process_name, lambda key: _belongs(key, process_name)
+            process_name, lambda key: _belongs_to_process(key, process_name)
         )
 
     def kill(self, process_name: str) -> None:
-        """Ends a part as a killed process ends: its sockets are closed."""
+        """Freezes a process for good and closes its sockets, like SIGKILL."""
         self.freeze(process_name)
         for key in self._selector.suspended_keys(process_name):
             handle = next(h for h in key.data if h is not None)
-            owner = getattr(handle._callback, "__self__", None)
-            if isinstance(owner, asyncio.Transport):
-                owner.abort()
+            transport = getattr(handle._callback, "__self__", None)
+            if isinstance(transport, asyncio.Transport):
+                transport.abort()
             elif isinstance(key.fd.socket, ListenSocket):
                 self._stop_serving(key.fd.socket)
 
     def thaw(self, process_name: str) -> None:
-        """Lets a part go on: what was ready, then sockets, then timers.
+        """Resumes a process: ready callbacks, then sockets, then timers.
 
-        That is the order in which the loop of a stopped process goes on, so
-        bytes that came meanwhile are read before an idle timeout acts.
+        The loop of a real process resumes in this order, so bytes that arrived
+        while it was frozen are read before an idle timeout fires.
         """
         self._ready.extend(self.deferred_callbacks.pop(process_name, ()))
         self._selector.resume(process_name)
@@ -73,19 +74,19 @@
 
     def _run_once(self) -> None:
         if self.deferred_callbacks:
-            self._hold_back()
+            self._defer_callbacks()
         super()._run_once()
 
-    def _hold_back(self) -> None:
+    def _defer_callbacks(self) -> None:
         for _ in range(len(self._ready)):
             handle = self._ready.popleft()
-            held = self.deferred_callbacks.get(
+            deferred = self.deferred_callbacks.get(
                 handle._context.get(PROCESS_NAME, "")
             )
-            if held is None:
+            if deferred is None:
                 self._ready.append(handle)
             else:
-                held.append(handle)
+                deferred.append(handle)
 
     def call_at(
         self,
@@ -94,7 +95,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Schedules a callback; a frozen part gets it after the thaw."""
+        """Schedules a callback; defers it while its process is frozen."""
         context = context or contextvars.copy_context()
         process_name = context.get(PROCESS_NAME, "")
         if not process_name:
@@ -102,8 +103,8 @@
 
         def fire() -> None:
             if process_name in self.deferred_callbacks:
-                late = self.deferred_timers.setdefault(process_name, [])
-                late.append((fire, context))
+                deferred = self.deferred_timers.setdefault(process_name, [])
+                deferred.append((fire, context))
             elif not timer.cancelled():
                 callback(*args)
 
@@ -111,7 +112,7 @@
         return timer
 
 
-def _belongs(key: Any, process_name: str) -> bool:
+def _belongs_to_process(key: Any, process_name: str) -> bool:
     return any(
         handle._context.get(PROCESS_NAME, "") == process_name
         for handle in key.data
--- a/src/auburnswitch/experiments/installation.py
+++ b/src/auburnswitch/experiments/installation.py
@@ -1,4 +1,4 @@
-"""A small installation on loopback: a store, endpoints and entry daemons."""
+"""Runs a small installation of stand-ins and entry daemons on loopback."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 class CallResult(NamedTuple):
-    """What a caller got.
+    """The response that a caller received.
 
     Attributes:
         status: HTTP status.
-        body: The whole body.
-        headers: Headers of the answer.
+        body: The complete body.
+        headers: Response headers.
     """
 
     status: int
@@ -52,16 +52,16 @@
 
 
 def make_config(
-    version: int = 1, *, keys: Sequence[str] = CALLER_KEYS, **more: Any
+    version: int = 1, *, keys: Sequence[str] = CALLER_KEYS, **overrides: Any
 ) -> dict[str, Any]:
     """Returns a configuration for the endpoints of this installation.
 
     Args:
-        version: Its version.
-        keys: Keys of the only team.
-        **more: Fields that go before the usual ones.
+        version: Version of the configuration.
+        keys: Caller keys of its only team.
+        **overrides: Fields that override the defaults.
     """
-    return installation_objects.make_config(version, list(keys), **more)
+    return installation_objects.make_config(version, list(keys), **overrides)
 
 
 class LoopbackInstallation:
@@ -70,9 +70,9 @@
     Attributes:
         store: The store of the installation.
         session: HTTP client of its callers.
-        store_address: Where the store listens.
-        runners: Endpoints by id.
-        addresses: Where they listen, by id.
+        store_address: Listening address of the store, as ``host:port``.
+        runners: Endpoint stand-ins by endpoint id.
+        addresses: Listening addresses of the endpoints, by endpoint id.
         daemons: The entry daemons.
     """
 
@@ -99,16 +99,22 @@
         self.addresses: dict[str, str] = {}
         self.daemons: list[EntryDaemon] = []
 
-    def put_endpoint(self, endpoint: str, service: str, **more: Any) -> None:
+    def put_endpoint(
+        self, endpoint: str, service: str, **overrides: Any
+    ) -> None:
         """Writes an endpoint's entry into the store."""
         installation_objects.put_endpoint(
-            self.store, endpoint, service, self.addresses[endpoint], **more
+            self.store, endpoint, service, self.addresses[endpoint], **overrides
         )
 
     @property
     def arrivals(self) -> list[ReceivedRequest]:
-        """Requests that came to any endpoint."""
-        return [a for r in self.runners.values() for a in r.received_requests]
+        """Requests that the endpoints have received."""
+        return [
+            request
+            for standin in self.runners.values()
+            for request in standin.received_requests
+        ]
 
     def url(self, daemon: int = 0) -> str:
         """Returns the base URL of a daemon's listener for callers."""
@@ -130,17 +136,20 @@
         Args:
             path: Path and query.
             method: HTTP method.
-            daemon: Number of the daemon that is asked.
-            tokens: Prompt and answer tokens, empty for a plain request.
+            daemon: Number of the daemon that receives the request.
+            tokens: Prompt and answer tokens, separated by a comma; empty for
+                a plain request.
             key: The caller's key.
-            headers: Headers that go before the usual ones.
-            body: Body, which only a POST has.
+            headers: Headers that override the defaults.
+            body: Request body; sent with POST only.
         """
         request_id = f"request-{next(_request_ids)}"
-        sent = request_headers(request_id, key, tokens=tokens) | (headers or {})
+        sent_headers = request_headers(request_id, key, tokens=tokens) | (
+            headers or {}
+        )
         data = body if method == "POST" else None
         async with self.session.request(
-            method, self.url(daemon) + path, headers=sent, data=data
+            method, self.url(daemon) + path, headers=sent_headers, data=data
         ) as response:
             return CallResult(
                 status=response.status,
@@ -157,13 +166,13 @@
     daemons: int = 1,
     initial_config: dict[str, Any] | None = None,
 ) -> AsyncIterator[LoopbackInstallation]:
-    """Runs an installation until the context ends; its daemons are ready.
+    """Runs an installation until the context ends; yields it once ready.
 
     Args:
-        engines: Model engines.
-        plain_services: Endpoints of a plain service.
-        daemons: Entry daemons.
-        initial_config: Configuration at the start, None for a usual one.
+        engines: Number of model engines.
+        plain_services: Number of endpoints of the plain service.
+        daemons: Number of entry daemons.
+        initial_config: Initial configuration; None for the default one.
     """
     store = InstallationStore()
     async with contextlib.AsyncExitStack() as stack:
@@ -215,7 +224,7 @@
     """Waits until a condition holds.
 
     Raises:
-        TimeoutError: It did not in time.
+        TimeoutError: The condition did not hold within `timeout_s`.
     """
     async with asyncio.timeout(timeout_s):
         while not condition():
--- a/src/auburnswitch/experiments/load.py
+++ b/src/auburnswitch/experiments/load.py
@@ -1,4 +1,4 @@
-"""Sends a bounded mix of requests and reports what came of them."""
+"""Generates a bounded load of mixed prompt lengths and reports outcomes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class LengthShare:
-    """A part of the mix: a range of prompt tokens and its share."""
+    """A range of prompt lengths, in tokens, and its share of the requests."""
 
     name: str
     min_tokens: int
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelTarget:
-    """A model, asked through the product's own interface.
+    """A model that is called through the daemons' own API.
 
     Attributes:
-        model: Its name.
+        model: Name of the model.
     """
 
     model: str
@@ -61,8 +61,8 @@
     """A route of the operators' configuration.
 
     Attributes:
-        host: Host that it names.
-        path: A path under its prefix.
+        host: Host name of the route.
+        path: Request path, which begins with the route's path prefix.
     """
 
     host: str
@@ -71,17 +71,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadOptions:
-    """A load run.
+    """Options of a load run.
 
     Attributes:
-        urls: Base URLs of daemons, used in turn.
-        caller_key: Key of the team that sends.
-        target: What is asked.
-        requests: Requests to send.
-        rate_per_s: Mean arrivals in a second.
-        answer_tokens: Tokens of each answer.
-        seed: Seed of lengths and arrivals.
-        mix: Lengths of the prompts.
+        urls: Base URLs of daemons, used round robin.
+        caller_key: Key of the team that sends the requests.
+        target: Model or route that receives the requests.
+        requests: Number of requests.
+        rate_per_s: Mean arrival rate, in requests per second.
+        answer_tokens: Length of each answer, in tokens.
+        seed: Seed of prompt lengths and arrival times.
+        mix: Prompt lengths and their shares.
     """
 
     urls: list[str]
@@ -96,34 +96,36 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadReport:
-    """What came of a load run.
+    """Outcomes of a load run.
 
     Attributes:
-        outcomes: Outcomes by part of the mix.
-        took_s: Time of the whole run, in seconds.
+        outcomes: Outcomes by name of the length share.
+        took_s: Duration of the run, in seconds.
     """
 
     outcomes: dict[str, list[CallOutcome]] = field(default_factory=dict)
     took_s: float = 0.0
 
     def to_json(self) -> dict[str, Any]:
-        """Returns counts by result and first-token times by length."""
+        """Returns result counts and time to first token by prompt length."""
         lengths = {
-            name: _summary(outcomes) for name, outcomes in self.outcomes.items()
+            name: _summarize(outcomes)
+            for name, outcomes in self.outcomes.items()
         }
         return {"took_s": round(self.took_s, 3), "lengths": lengths}
 
 
 async def run_load(options: LoadOptions) -> LoadReport:
-    """Sends the requests of a load run and waits for all of them.
+    """Sends the requests of a load run and waits for all responses.
 
     Raises:
-        ValueError: The run is not bounded.
+        ValueError: The run exceeds `MAX_REQUESTS` or `MAX_SECONDS`, or has no
+            requests.
     """
     if not 1 <= options.requests <= MAX_REQUESTS:
         raise ValueError(f"requests must be from 1 to {MAX_REQUESTS}")
-    seconds = options.requests / max(options.rate_per_s, 1e-9)
-    if seconds > MAX_SECONDS:
+    duration_s = options.requests / max(options.rate_per_s, 1e-9)
+    if duration_s > MAX_SECONDS:
         raise ValueError(f"the run would take more than {MAX_SECONDS:.0f} s")
     rng = random.Random(options.seed)
     report = LoadReport()
@@ -135,11 +137,13 @@
         asyncio.TaskGroup() as group,
     ):
         for number in range(options.requests):
-            part = _choose(options.mix, rng)
-            tokens = rng.randint(part.min_tokens, part.max_tokens)
+            length_share = _choose_length_share(options.mix, rng)
+            tokens = rng.randint(
+                length_share.min_tokens, length_share.max_tokens
+            )
             url = options.urls[number % len(options.urls)]
             call = _call(session, url, options, tokens, rng)
-            group.create_task(_note(call, part, report))
+            group.create_task(_record_outcome(call, length_share, report))
             await asyncio.sleep(rng.expovariate(options.rate_per_s))
     report.took_s = monotonic_s() - started_at
     return report
@@ -172,28 +176,32 @@
             return stream_events(session, url, request)
 
 
-async def _note(
+async def _record_outcome(
     call: Coroutine[Any, Any, CallOutcome],
-    part: LengthShare,
+    length_share: LengthShare,
     report: LoadReport,
 ) -> None:
-    report.outcomes.setdefault(part.name, []).append(await call)
+    report.outcomes.setdefault(length_share.name, []).append(await call)
 
 
-def _choose(mix: tuple[LengthShare, ...], rng: random.Random) -> LengthShare:
-    return rng.choices(mix, [part.share for part in mix])[0]
+def _choose_length_share(
+    mix: tuple[LengthShare, ...], rng: random.Random
+) -> LengthShare:
+    return rng.choices(mix, [length_share.share for length_share in mix])[0]
 
 
 def _prompt(tokens: int, rng: random.Random) -> str:
-    first = f"{rng.getrandbits(64):016x} "  # no two prompts share a prefix
-    size_bytes = tokens * BYTES_PER_TOKEN - len(first)
+    unique_prefix = (
+        f"{rng.getrandbits(64):016x} "  # no two prompts share a prefix
+    )
+    size_bytes = tokens * BYTES_PER_TOKEN - len(unique_prefix)
     word = rng.choice(WORDS) + " "
-    return first + (word * (size_bytes // len(word) + 1))[:size_bytes]
+    return unique_prefix + (word * (size_bytes // len(word) + 1))[:size_bytes]
 
 
-def _summary(outcomes: list[CallOutcome]) -> dict[str, Any]:
+def _summarize(outcomes: list[CallOutcome]) -> dict[str, Any]:
     counts = collections.Counter(outcome.result for outcome in outcomes)
-    times = sorted(
+    times_s = sorted(
         outcome.first_token_s
         for outcome in outcomes
         if outcome.first_token_s is not None
@@ -202,20 +210,20 @@
         "requests": len(outcomes),
         "results": dict(sorted(counts.items())),
         "first_token_s": {
-            "p50": _quantile(times, 50),
-            "p95": _quantile(times, 95),
-            "p99": _quantile(times, 99),
+            "p50": _quantile(times_s, 50),
+            "p95": _quantile(times_s, 95),
+            "p99": _quantile(times_s, 99),
         },
     }
 
 
-def _quantile(times: list[float], percent: int) -> float | None:
-    if not times:
+def _quantile(times_s: list[float], percent: int) -> float | None:
+    if not times_s:
         return None
-    if len(times) == 1:
-        return round(times[0], 4)
-    cuts = statistics.quantiles(times, n=100, method="inclusive")
-    return round(cuts[percent - 1], 4)
+    if len(times_s) == 1:
+        return round(times_s[0], 4)
+    percentiles_s = statistics.quantiles(times_s, n=100, method="inclusive")
+    return round(percentiles_s[percent - 1], 4)
 
 
 __all__ = [
--- a/src/auburnswitch/experiments/oracle.py
+++ b/src/auburnswitch/experiments/oracle.py
@@ -1,4 +1,4 @@
-"""A placement that sees every engine's true state; for comparison only."""
+"""Oracle placement policy: reads the engines' true state, for comparison."""
 
 from __future__ import annotations
 
@@ -24,12 +24,13 @@
 
 
 class OraclePlacer(Placer):
-    """Chooses the engine whose true state promises the first token soonest.
+    """Chooses the engine with the least prefill ahead of the request.
 
     Attributes:
         engines: Engine stand-ins by endpoint name.
-        pending: Requests placed that an engine has not seen yet, with the
-            loop time of their placement in seconds, by endpoint.
+        pending: Placed requests that have not reached their engine yet, with
+            the loop time of their placement in seconds, by endpoint and
+            request id.
     """
 
     __slots__ = ("engines", "pending")
@@ -55,18 +56,22 @@
     async def place(
         self, request: RoutedRequest, excluded: set[str]
     ) -> HeldReservation | Refusal:
-        """Returns the engine with the least work before the request."""
+        """Returns a reservation on the engine with the least prefill ahead.
+
+        Waits while no engine has the capacity, up to the deadline of the
+        request.
+        """
         while request.time_left_s() > 0:
             names = [
                 name
                 for name in self.engines
                 if name not in excluded
                 and not self.endpoint_manager.is_unschedulable(name)
-                and self._has_room(name, request)
+                and self._has_capacity(name, request)
             ]
             if names:
                 self.rng.shuffle(names)
-                best = min(names, key=lambda n: self._work_before(n, request))
+                best = min(names, key=lambda n: self._prefill_ahead(n, request))
                 self.pending[best][request.id] = (monotonic_s(), request)
                 work = unreserved_work(best, request)
                 return self.reservations.hold_without_grant(
@@ -77,41 +82,41 @@
 
     def _in_transit(self, name: str) -> list[RoutedRequest]:
         arrived = {job.request_id for job in self.engines[name].batch.jobs()}
-        oldest = monotonic_s() - MAX_TRANSIT_S
-        waiting = self.pending[name]
-        for request_id, (placed_at, _) in list(waiting.items()):
-            if request_id in arrived or placed_at < oldest:
-                del waiting[request_id]
-        return [request for _, request in waiting.values()]
-
-    def _has_room(self, name: str, request: RoutedRequest) -> bool:
+        oldest_placed_at = monotonic_s() - MAX_TRANSIT_S
+        pending = self.pending[name]
+        for request_id, (placed_at, _) in list(pending.items()):
+            if request_id in arrived or placed_at < oldest_placed_at:
+                del pending[request_id]
+        return [request for _, request in pending.values()]
+
+    def _has_capacity(self, name: str, request: RoutedRequest) -> bool:
         engine = self.engines[name]
-        used = engine.batch.memory_used_tokens
-        used += sum(job.memory_tokens for job in engine.batch.waiting)
-        used += sum(
+        used_tokens = engine.batch.memory_used_tokens
+        used_tokens += sum(job.memory_tokens for job in engine.batch.waiting)
+        used_tokens += sum(
             r.prompt_tokens + r.answer_tokens for r in self._in_transit(name)
         )
-        limit = float(engine.options.memory_tokens)
+        limit_tokens = float(engine.options.memory_tokens)
         if request.length_class is LengthClass.LONG:
-            limit *= 1 - SHORT_MEMORY_SHARE
-        needed = request.prompt_tokens + request.answer_tokens
-        return used + needed <= limit
+            limit_tokens *= 1 - SHORT_MEMORY_SHARE
+        needed_tokens = request.prompt_tokens + request.answer_tokens
+        return used_tokens + needed_tokens <= limit_tokens
 
-    def _work_before(
+    def _prefill_ahead(
         self, name: str, request: RoutedRequest
     ) -> tuple[int, ...]:
         jobs = self.engines[name].batch.jobs()
-        transit = self._in_transit(name)
+        in_transit = self._in_transit(name)
         length = int(request.length_class)
-        first = sum(
+        ahead_tokens = sum(
             j.prefill_remaining_tokens for j in jobs if j.priority <= length
         )
-        first += sum(
-            r.prompt_tokens for r in transit if int(r.length_class) <= length
+        ahead_tokens += sum(
+            r.prompt_tokens for r in in_transit if int(r.length_class) <= length
         )
-        total = sum(j.prefill_remaining_tokens for j in jobs)
-        total += sum(r.prompt_tokens for r in transit)
-        return (first, total)
+        total_tokens = sum(j.prefill_remaining_tokens for j in jobs)
+        total_tokens += sum(r.prompt_tokens for r in in_transit)
+        return (ahead_tokens, total_tokens)
 
 
 __all__ = ["OraclePlacer"]
--- a/src/auburnswitch/experiments/placement.py
+++ b/src/auburnswitch/experiments/placement.py
@@ -1,4 +1,4 @@
-"""Measures placement policies on the same arrivals, in virtual time.
+"""Compares placement policies on the same arrivals, in virtual time.
 
 Run ``python -m auburnswitch.experiments.placement run --help``.
 """
@@ -49,7 +49,7 @@
 WARM_AFTER_REQUESTS: Final = 2
 WARM_UP_TOKENS: Final = 1_000
 WARM_UP_TIMEOUT_S: Final = 120.0
-BASELINE_LOAD_INTERVAL_S: Final = 0.5  # reports are a second old on average
+BASELINE_LOAD_INTERVAL_S: Final = 0.5  # mean age of load reports: one second
 POLICIES: Final = ("two-choices", "owner", "oracle")
 LOADS: Final = (0.5, 0.9)
 AUTHORIZATION_HEADERS: Final = {"Authorization": f"Bearer {CALLER_KEY}"}
@@ -57,15 +57,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class RunOptions:
-    """One run of one policy.
+    """Options of one run of one policy.
 
     Attributes:
         policy: Name of the policy.
-        load: Offered share of the prefill capacity.
-        shared: Whether long prompts are among the requests.
+        load: Offered load as a share of the prefill capacity.
+        shared: Whether the requests include long prompts.
         seed: Seed of the arrivals.
-        ramp_s: Time until the queues are full, whose requests are not
-            counted, in seconds.
+        ramp_s: Time until the queues are full, in seconds; requests that
+            arrive during the ramp are not counted.
         duration_s: Time over which counted requests arrive, in seconds.
     """
 
@@ -78,8 +78,8 @@
 
 
 def run_policy(options: RunOptions) -> RunSummary:
-    """Runs one policy in virtual time."""
-    # a development dependency, which daemons and tools do without
+    """Runs one policy in virtual time and returns its summary."""
+    # imported here: needs a development dependency that daemons do not have
     from auburnswitch.experiments.virtual_time import run_virtual
 
     started_at = time.perf_counter()
@@ -115,8 +115,8 @@
 
 
 def fleet_options(policy: str) -> FleetOptions:
-    """Returns the fleet of the experiment under a policy."""
-    # a development dependency, which daemons and tools do without
+    """Returns the fleet options of the experiment for a policy."""
+    # imported here: needs a development dependency that daemons do not have
     from auburnswitch.experiments.virtual_time import SimulatedConnector
 
     def customize_settings(settings: Settings) -> None:
@@ -144,10 +144,10 @@
 
 
 async def warm_up(fleet: Fleet) -> None:
-    """Sends short requests until owners count every engine as warm.
+    """Sends short requests until every owner considers its engines warm.
 
     Raises:
-        TimeoutError: It took too long.
+        TimeoutError: An engine is not warm within `WARM_UP_TIMEOUT_S`.
     """
     number = 0
     async with asyncio.timeout(WARM_UP_TIMEOUT_S):
@@ -175,7 +175,7 @@
 
 
 def install_oracle(fleet: Fleet) -> None:
-    """Lets every daemon see the true state of every engine."""
+    """Replaces the placer of every daemon by an `OraclePlacer`."""
     pending = {name: {} for name in fleet.engines}
     for daemon in fleet.daemons.values():
         daemon.dispatcher.placer = OraclePlacer(
@@ -188,7 +188,7 @@
 async def send_all(
     fleet: Fleet, arrivals: list[Arrival]
 ) -> list[RequestSample]:
-    """Sends every request at its time and waits for all answers."""
+    """Sends every request at its arrival time and waits for all responses."""
     started_at = monotonic_s()
     async with asyncio.TaskGroup() as group:
         tasks = []
@@ -201,7 +201,7 @@
 async def send(
     fleet: Fleet, arrival: Arrival, started_at: float
 ) -> RequestSample:
-    """Sends one request and returns what its caller saw."""
+    """Sends one request and returns its outcome."""
     sent_at = monotonic_s()
     outcome = await stream_completion(
         fleet.session,
@@ -235,10 +235,10 @@
     Args:
         seed: Seed of the arrivals.
         duration_s: Time over which counted requests arrive, in seconds.
-        loads: Offered shares of the prefill capacity.
-        policies: Names of policies.
-        processes: Runs at one time.
-        save: File for the results in JSON; empty saves nothing.
+        loads: Offered loads as shares of the prefill capacity.
+        policies: Names of the policies.
+        processes: Number of runs in parallel.
+        save: Path of a JSON file for the results; empty to save nothing.
     """
     plan = [
         RunOptions(
@@ -261,7 +261,7 @@
 
 
 def run_all(plan: list[RunOptions], processes: int) -> list[RunSummary]:
-    """Runs a plan in separate processes, one for each run."""
+    """Runs every item of a plan in a process of its own."""
     with concurrent.futures.ProcessPoolExecutor(
         processes,
         mp_context=multiprocessing.get_context("spawn"),
--- a/src/auburnswitch/experiments/process_context.py
+++ b/src/auburnswitch/experiments/process_context.py
@@ -1,4 +1,4 @@
-"""Names the part of a fleet that a task belongs to."""
+"""Context variable that names the simulated process of a task."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/experiments/random_run.py
+++ b/src/auburnswitch/experiments/random_run.py
@@ -1,7 +1,8 @@
 """Long randomised runs: ``python -m auburnswitch.experiments.random_run``.
 
-Prints the seed, what was done and every violation, and exits with 1 if there
-was one. The same seed gives the same run; runs of an hour were seen to differ.
+Prints the seed, the counts of actions and every violation, and exits with
+status 1 if there was one. The same seed gives the same run, except that runs of
+an hour have been observed to differ.
 """
 
 from __future__ import annotations
@@ -39,12 +40,12 @@
 
 
 class RunReport:
-    """What a run did and what came of it.
+    """Actions and results of a run.
 
     Attributes:
-        actions: The actions, in order.
-        virtual_s: Length in virtual time, in seconds.
-        wall_s: Length in wall time, in seconds.
+        actions: Applied actions, in order.
+        virtual_s: Duration in virtual time, in seconds.
+        wall_s: Duration in wall time, in seconds.
         outcomes: Number of calls by result.
         problems: Violations and unexpected errors.
     """
@@ -76,9 +77,10 @@
     """Runs actions on a fleet in virtual time.
 
     Args:
-        actions: What to do, in order.
-        seed: Seed of what the program itself draws.
-        limit_s: Virtual time after which no action follows, in seconds.
+        actions: Actions to apply, in order.
+        seed: Seed of the ids that the daemons draw.
+        limit_s: Virtual time after which no further action is applied, in
+            seconds.
 
     Returns:
         The report.
@@ -87,7 +89,7 @@
 
 
 def draw_actions(seed: int, steps: int | None = None) -> Iterator[Action]:
-    """Yields random actions, without end if no number is given."""
+    """Yields `steps` random actions, or an infinite sequence for None."""
     rng = random.Random(seed)
     while steps is None or steps > 0:
         yield draw_action(rng)
@@ -128,13 +130,14 @@
 def main(
     seed: int = 1, steps: int = 500, hours: float = 0.0, shrinking: bool = True
 ) -> None:
-    """Runs and prints the report.
+    """Runs random actions and prints the report.
 
     Args:
-        seed: Seed of every choice.
+        seed: Seed of every random choice.
         steps: Number of actions.
-        hours: Virtual time to fill with actions, in place of a number.
-        shrinking: Look for the shortest list of actions that still fails.
+        hours: Virtual time to run for, in hours; replaces `steps` if not 0.
+        shrinking: After a failure, search for a short list of actions that
+            still fails.
     """
     print(f"seed {seed}", flush=True)
     if hours:
@@ -152,7 +155,9 @@
     stop_at = time.perf_counter() + SHRINK_TIMEOUT_S
     shortest = shrink(
         actions,
-        fails=lambda shorter: bool(run_actions(shorter, seed=seed).problems),
+        fails=lambda candidate: bool(
+            run_actions(candidate, seed=seed).problems
+        ),
         has_time_left=lambda: time.perf_counter() < stop_at,
     )
     print(f"shortest failing list found: {len(shortest)} actions")
--- a/src/auburnswitch/experiments/recording_caller.py
+++ b/src/auburnswitch/experiments/recording_caller.py
@@ -1,4 +1,4 @@
-"""What the callers of a run sent and saw."""
+"""Sends the calls of a randomised run and records their outcomes."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
     """One call and its outcome.
 
     Attributes:
-        id: The caller's request id; the system's id begins with it.
-        deadline_s: Time the caller allowed, in seconds.
+        id: The caller's request id, a prefix of the id that the daemon assigns.
+        deadline_s: Deadline that the caller sets, relative to the call, in
+            seconds.
         started_at: Loop time of the call, in seconds.
-        key: Idempotency key of a plain call, empty without one.
+        key: Idempotency key of a plain call; empty if it has none.
         idempotent: Whether the call may run more than once.
-        expected: The whole answer of a completion, empty for plain calls.
-        daemon: Instance that was called.
-        outcome: What the caller saw, None while the call runs.
+        expected: Complete answer of a completion; empty for plain calls.
+        daemon: Name of the called instance.
+        outcome: Outcome of the call; None while it runs.
     """
 
     id: str
@@ -45,7 +46,7 @@
     """Sends calls and keeps a record of each.
 
     Attributes:
-        records: Every call, in the order they were sent.
+        records: Every call, in the order of sending.
     """
 
     __slots__ = ("headers", "next_id", "records", "session")
@@ -68,8 +69,8 @@
         tokens: int,
         deadline_s: float,
     ) -> CallRecord:
-        """Streams a completion."""
-        record = self._record(daemon, deadline_s)
+        """Streams a completion and returns its record."""
+        record = self._new_record(daemon, deadline_s)
         record.expected = answer_text(prompt_digest(prompt), tokens)
         body = {"model": model, "prompt": prompt, "max_tokens": tokens}
         record.outcome = await stream_completion(
@@ -88,8 +89,8 @@
         body: Any = None,
         key: str = "",
     ) -> CallRecord:
-        """Calls a plain service."""
-        record = self._record(daemon, deadline_s)
+        """Calls a plain service and returns the record of the call."""
+        record = self._new_record(daemon, deadline_s)
         record.key = key
         record.idempotent = method in ("GET", "HEAD")
         headers = self._headers(record)
@@ -100,7 +101,7 @@
         )
         return record
 
-    def _record(self, daemon: str, deadline_s: float) -> CallRecord:
+    def _new_record(self, daemon: str, deadline_s: float) -> CallRecord:
         record = CallRecord(
             id=f"call-{self.next_id}",
             deadline_s=deadline_s,
--- a/src/auburnswitch/experiments/report.py
+++ b/src/auburnswitch/experiments/report.py
@@ -1,4 +1,4 @@
-"""First-token times, outcomes and their comparison between policies."""
+"""Summarizes time to first token and compares placement policies."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class RequestSample:
-    """What one caller saw.
+    """Outcome of one request.
 
     Attributes:
-        offset_s: When its request was sent, in seconds from the start.
+        offset_s: Send time, in seconds from the start.
         length_class: Length class of the prompt.
         result: Name of the result code.
-        first_token_s: Time to first token, in seconds; None without one.
+        first_token_s: Time to first token, in seconds; None if no token
+            was received.
     """
 
     offset_s: float
@@ -36,13 +37,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class LengthSummary:
-    """The requests of one length class in one run.
+    """Summary of the requests of one length class in one run.
 
     Attributes:
         p50_s: Median time to first token, in seconds.
-        p95_s: 95th percentile, in seconds.
-        p99_s: 99th percentile, in seconds.
-        outcomes: Requests by name of their result code.
+        p95_s: 95th percentile of the time to first token, in seconds.
+        p99_s: 99th percentile of the time to first token, in seconds.
+        outcomes: Number of requests by name of the result code.
     """
 
     p50_s: float
@@ -53,15 +54,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class RunSummary:
-    """One run of one policy.
+    """Summary of one run of one policy.
 
     Attributes:
-        policy: The policy's name.
-        load: Offered share of the prefill capacity.
-        shared: Whether long prompts were among the requests.
-        lengths: Summary by name of the length class.
+        policy: Name of the policy.
+        load: Offered load as a share of the prefill capacity.
+        shared: Whether the requests included long prompts.
+        lengths: Summaries by name of the length class.
         took_s: Wall time of the run, in seconds.
-        counters: Other figures of the run, by name.
+        counters: Further counters of the run, by name.
     """
 
     policy: str
@@ -72,7 +73,7 @@
     counters: dict[str, float] = field(default_factory=dict)
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the summary in JSON types."""
+        """Returns the summary as a JSON object."""
         return dataclasses.asdict(self)
 
 
@@ -90,17 +91,23 @@
 
 
 def summarize_lengths(samples: list[RequestSample]) -> dict[str, LengthSummary]:
-    """Returns the summary of each length class that occurs."""
+    """Returns a summary for each length class with at least one sample."""
     summaries = {}
     for length_class in LengthClass:
-        own = [
+        class_samples = [
             sample for sample in samples if sample.length_class is length_class
         ]
-        if not own:
+        if not class_samples:
             continue
-        times_s = [s.first_token_s for s in own if s.first_token_s is not None]
+        times_s = [
+            s.first_token_s
+            for s in class_samples
+            if s.first_token_s is not None
+        ]
         p50_s, p95_s, p99_s = percentiles_s(times_s)
-        outcomes = collections.Counter(sample.result for sample in own)
+        outcomes = collections.Counter(
+            sample.result for sample in class_samples
+        )
         summaries[length_class.name.lower()] = LengthSummary(
             p50_s=p50_s, p95_s=p95_s, p99_s=p99_s, outcomes=dict(outcomes)
         )
@@ -108,7 +115,7 @@
 
 
 def comparison_lines(runs: list[RunSummary]) -> list[str]:
-    """Returns the ratios that the targets speak of, one for each line."""
+    """Returns lines with the ratios that the performance targets limit."""
     by_key = {(run.policy, run.load, run.shared): run for run in runs}
     lines = []
     for load in sorted({run.load for run in runs}):
@@ -117,55 +124,55 @@
             alone = by_key.get((policy, load, False))
             if shared and alone:
                 lines.append(_slowdown_line(shared, alone))
-        for other in ("two-choices", "oracle"):
-            own = by_key.get(("owner", load, True))
-            against = by_key.get((other, load, True))
-            if own and against:
-                lines.append(_ratio_line(own, against))
-        own = by_key.get(("owner", load, True))
-        base = by_key.get(("two-choices", load, False))
-        if own and base:
-            mine_s = own.lengths["short"].p95_s
-            base_s = base.lengths["short"].p95_s
+        for other_policy in ("two-choices", "oracle"):
+            owner_run = by_key.get(("owner", load, True))
+            other_run = by_key.get((other_policy, load, True))
+            if owner_run and other_run:
+                lines.append(_ratio_line(owner_run, other_run))
+        owner_run = by_key.get(("owner", load, True))
+        baseline_run = by_key.get(("two-choices", load, False))
+        if owner_run and baseline_run:
+            owner_s = owner_run.lengths["short"].p95_s
+            baseline_s = baseline_run.lengths["short"].p95_s
             lines.append(
-                f"load {load}: owner's short p95 shared {mine_s:.3f} s,"
-                f" two-choices' alone {base_s:.3f} s"
+                f"load {load}: owner's short p95 shared {owner_s:.3f} s,"
+                f" two-choices' alone {baseline_s:.3f} s"
             )
     return lines
 
 
 def _slowdown_line(shared: RunSummary, alone: RunSummary) -> str:
-    mine, other = shared.lengths["short"], alone.lengths["short"]
+    shared_short, alone_short = shared.lengths["short"], alone.lengths["short"]
     return (
         f"load {shared.load}: {shared.policy}: slowdown of short requests"
-        f" p50 {mine.p50_s / other.p50_s:.2f},"
-        f" p95 {mine.p95_s / other.p95_s:.2f},"
-        f" p99 {mine.p99_s / other.p99_s:.2f}"
+        f" p50 {shared_short.p50_s / alone_short.p50_s:.2f},"
+        f" p95 {shared_short.p95_s / alone_short.p95_s:.2f},"
+        f" p99 {shared_short.p99_s / alone_short.p99_s:.2f}"
     )
 
 
-def _ratio_line(own: RunSummary, other: RunSummary) -> str:
+def _ratio_line(owner: RunSummary, base: RunSummary) -> str:
     ratios = [
-        f"{name} p95 {own.lengths[name].p95_s / other.lengths[name].p95_s:.2f}"
+        f"{name} p95 {owner.lengths[name].p95_s / base.lengths[name].p95_s:.2f}"
         for name in ("short", "long")
     ]
-    return f"load {own.load}: owner over {other.policy}: {', '.join(ratios)}"
+    return f"load {owner.load}: owner over {base.policy}: {', '.join(ratios)}"
 
 
 def table_lines(runs: list[RunSummary]) -> list[str]:
-    """Returns a Markdown table of first-token times and outcomes."""
+    """Returns a Markdown table of time to first token and outcomes."""
     lines = [
         "| Load | Policy | Long ones | Length | p50, s | p95, s | p99, s"
         " | Outcomes |",
         "|---|---|---|---|---|---|---|---|",
     ]
     for run in sorted(runs, key=lambda r: (r.load, r.policy, r.shared)):
-        mixed = "shared" if run.shared else "alone"
-        for name, own in run.lengths.items():
-            outcomes = ", ".join(f"{k} {v}" for k, v in own.outcomes.items())
+        long_prompts = "shared" if run.shared else "alone"
+        for name, row in run.lengths.items():
+            outcomes = ", ".join(f"{k} {v}" for k, v in row.outcomes.items())
             lines.append(
-                f"| {run.load} | {run.policy} | {mixed} | {name} |"
-                f" {own.p50_s:.3f} | {own.p95_s:.3f} | {own.p99_s:.3f} |"
+                f"| {run.load} | {run.policy} | {long_prompts} | {name} |"
+                f" {row.p50_s:.3f} | {row.p95_s:.3f} | {row.p99_s:.3f} |"
                 f" {outcomes} |"
             )
     return lines
--- a/src/auburnswitch/experiments/running_daemon.py
+++ b/src/auburnswitch/experiments/running_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon of a fleet, in a task of its own."""
+"""Runs a daemon of a fleet in a separate task."""
 
 from __future__ import annotations
 
@@ -15,11 +15,15 @@
 
 
 class RunningDaemon:
-    """A daemon in a task of its own.
+    """Runs a daemon in a separate task.
 
     Attributes:
-        process_name: Names the daemon's tasks, so that they can be frozen.
-        daemon: The daemon, once it has started.
+        process_name: Simulated process of the daemon's tasks, by which they can
+            be frozen.
+        daemon: The daemon; set once it has started.
+        graceful: Whether to drain the daemon when it stops.
+        stopping: Set to stop the daemon.
+        task: The task that runs the daemon.
     """
 
     __slots__ = ("daemon", "graceful", "process_name", "stopping", "task")
@@ -32,7 +36,10 @@
     async def start(
         self, opening: contextlib.AbstractAsyncContextManager[Daemon]
     ) -> None:
-        """Starts the daemon and waits until its listeners are open."""
+        """Starts the daemon and waits until its listeners are open.
+
+        Raises the error of a daemon that fails to start.
+        """
         started = asyncio.get_running_loop().create_future()
         context = contextvars.copy_context()
         context.run(PROCESS_NAME.set, self.process_name)
@@ -43,7 +50,7 @@
             {self.task, started}, return_when=asyncio.FIRST_COMPLETED
         )
         if not started.done():
-            await self.task  # raises what stopped it
+            await self.task  # raises the error of the start
         self.daemon: Daemon = started.result()
 
     async def _run(
@@ -60,13 +67,13 @@
                 _abort(daemon)
 
     async def stop(self, *, graceful: bool) -> None:
-        """Stops the daemon and waits for its end."""
+        """Stops the daemon and waits until its task has ended."""
         self.graceful = graceful
         self.stopping.set()
         await self.task
 
     async def abort(self) -> None:
-        """Ends the daemon, whatever state it is in."""
+        """Closes the daemon's listeners and cancels its task in any state."""
         _abort(self.daemon)
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
--- a/src/auburnswitch/experiments/shrinking.py
+++ b/src/auburnswitch/experiments/shrinking.py
@@ -1,4 +1,4 @@
-"""Shortens a failing list of actions."""
+"""Shrinks a failing list of actions."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
     fails: Callable[[list[ItemT]], bool],
     has_time_left: Callable[[], bool],
 ) -> list[ItemT]:
-    """Drops items greedily, large chunks first, while the rest still fails.
+    """Removes items greedily, large chunks first, while the list still fails.
 
     Args:
         items: A list that fails.
-        fails: Tells whether a shorter list fails too.
-        has_time_left: Tells whether there is time for a further try.
+        fails: Returns whether a shorter list fails too.
+        has_time_left: Returns whether there is time for another attempt.
 
     Returns:
         The shortest failing list found.
     """
-    size = len(items) // 2
-    while size:
+    chunk_size = len(items) // 2
+    while chunk_size:
         start = 0
         while start < len(items):
             if not has_time_left():
                 return items
-            shorter = items[:start] + items[start + size :]
-            if fails(shorter):
-                items = shorter
+            candidate = items[:start] + items[start + chunk_size :]
+            if fails(candidate):
+                items = candidate
             else:
-                start += size
-        size //= 2
+                start += chunk_size
+        chunk_size //= 2
     return items
 
 
--- a/src/auburnswitch/experiments/ticket_spread.py
+++ b/src/auburnswitch/experiments/ticket_spread.py
@@ -1,7 +1,7 @@
-"""Measures how soon a ticket is in force, and the store calls at rest.
+"""Measures the propagation time of tickets and the store calls when idle.
 
-Runs the whole fleet in virtual time, so figures are those of the protocol:
-peers and store answer without delay but where a fault says otherwise.
+Runs the whole fleet in virtual time, so the results show the protocol alone:
+peers and store respond without delay unless a fault adds one.
 
 Usage: python -m auburnswitch.experiments.ticket_spread [--tickets 20]
 """
@@ -44,50 +44,51 @@
     await fleet.stop_daemon(number, graceful=False)
 
 
-async def _cut_watches(fleet: Fleet, _: int) -> None:
+async def _hang_watches(fleet: Fleet, _: int) -> None:
     fleet.platform.watch_broken = True
 
 
-async def _cut_and_kill(fleet: Fleet, number: int) -> None:
+async def _hang_watches_and_kill(fleet: Fleet, number: int) -> None:
     fleet.platform.watch_broken = True
     await fleet.stop_daemon(number, graceful=False)
 
 
-async def _slow_store(fleet: Fleet, _: int) -> None:
+async def _slow_down_store(fleet: Fleet, _: int) -> None:
     fleet.platform.delay_s = SLOW_STORE_DELAY_S
 
 
 FAULTS: Final[dict[str, tuple[Fault, bool]]] = {
     "quiet": (_no_fault, False),
     "accepting daemon killed": (_kill_acceptor, False),
-    "watches hang": (_cut_watches, True),
-    "watches hang, daemon killed": (_cut_and_kill, True),
-    "store takes 1 s": (_slow_store, True),
+    "watches hang": (_hang_watches, True),
+    "watches hang, daemon killed": (_hang_watches_and_kill, True),
+    "store takes 1 s": (_slow_down_store, True),
 }
 
 
 async def measure_ticket(fleet: Fleet, fault: Fault, before: bool) -> float:
-    """Applies one ticket; returns the time until it is in force everywhere.
+    """Applies one ticket; returns the seconds until all daemons have it.
 
     Args:
         fleet: The fleet.
-        fault: What goes wrong.
-        before: Whether it does so before the acceptance, not right after.
+        fault: Fault to inject.
+        before: Inject the fault before the ticket is accepted rather than
+            right after.
     """
     number = random.Random(fleet.next_ticket).randrange(DAEMON_COUNT)
     instance = f"entry-{number}"
     out = fleet.next_ticket % 2 == 0
     ticket = fleet.ticket([fleet.zone_change(fleet.zone(0), out=out)])
-    if before and fault is _cut_and_kill:
+    if before and fault is _hang_watches_and_kill:
         fleet.platform.watch_broken = True
     elif before:
         await fault(fleet, number)
     try:
         await fleet.apply(ticket, instance)
-    except aiohttp.ClientOSError:  # an idle connection had been closed
+    except aiohttp.ClientOSError:  # an idle connection was closed
         await fleet.apply(ticket, instance)
     accepted_at = monotonic_s()
-    if not before or fault is _cut_and_kill:
+    if not before or fault is _hang_watches_and_kill:
         await fault(fleet, number)
     async with asyncio.timeout(PROPAGATION_TIMEOUT_S):
         while not all(
@@ -104,7 +105,7 @@
 
 
 async def measure_propagation(tickets: int) -> list[str]:
-    """Returns a row for each fault."""
+    """Returns a table row with propagation times for each fault."""
     rows = []
     for name, (fault, before) in FAULTS.items():
         options = FleetOptions(
@@ -112,37 +113,39 @@
         )
         async with open_fleet(options) as fleet:
             await asyncio.sleep(SETTLE_S)
-            times = sorted(
+            times_s = sorted(
                 [
                     await measure_ticket(fleet, fault, before)
                     for _ in range(tickets)
                 ]
             )
-            median = times[len(times) // 2]
-            rows.append(f"{name:28}  {median:8.2f}  {times[-1]:8.2f}")
+            median_s = times_s[len(times_s) // 2]
+            rows.append(f"{name:28}  {median_s:8.2f}  {times_s[-1]:8.2f}")
     return rows
 
 
 async def measure_idle_calls(daemons: int) -> str:
-    """Returns a row with the store calls a second at rest."""
+    """Returns a table row with the store calls per second when idle."""
     options = FleetOptions(daemons=daemons, connector=SimulatedConnector)
     async with open_fleet(options) as fleet:
         await asyncio.sleep(SETTLE_S * 2)
         before = fleet.platform.calls.copy()
         await asyncio.sleep(IDLE_PERIOD_S)
         calls = fleet.platform.calls - before
-    total = sum(calls.values()) / IDLE_PERIOD_S
+    rate_per_s = sum(calls.values()) / IDLE_PERIOD_S
     kinds = ", ".join(
         f"{k} {n / IDLE_PERIOD_S:.2f}" for k, n in sorted(calls.items())
     )
-    return f"{daemons:7}  {total:7.2f}  {total / daemons:10.3f}  {kinds}"
+    return (
+        f"{daemons:7}  {rate_per_s:7.2f}  {rate_per_s / daemons:10.3f}  {kinds}"
+    )
 
 
 def main(tickets: int = 20) -> None:
     """Runs the measurement.
 
     Args:
-        tickets: Tickets applied under each fault.
+        tickets: Number of tickets applied under each fault.
     """
     print(f"{'fault':28}  median s     max s")
     for row in run_virtual(lambda: measure_propagation(min(tickets, 100))):
--- a/src/auburnswitch/experiments/virtual_time.py
+++ b/src/auburnswitch/experiments/virtual_time.py
@@ -27,42 +27,48 @@
 
 
 class IndexedSelector(Selector):
-    """Finds ready sockets faster than the library's own selector.
+    """Finds ready sockets faster than the selector of async_solipsism.
 
-    It looks at the receive queues of connections alone, which are nearly all
-    of what a run waits for, and asks the other sockets as the library does.
+    Checks the receive queues of connections directly, since nearly all sockets
+    of a run wait for incoming data, and polls other sockets as the library
+    does.
     """
 
     def __init__(self, clock: Clock) -> None:
         super().__init__(clock)
         self._receiving: dict[int, tuple[Queue, selectors.SelectorKey]] = {}
-        self._others: dict[int, selectors.SelectorKey] = {}
-        self._held: dict[str, list[selectors.SelectorKey]] = {}
+        self._polled: dict[int, selectors.SelectorKey] = {}
+        self._suspended: dict[str, list[selectors.SelectorKey]] = {}
 
     def suspend(
-        self, name: str, chosen: Callable[[selectors.SelectorKey], bool]
+        self, name: str, predicate: Callable[[selectors.SelectorKey], bool]
     ) -> None:
-        """Stops reporting some sockets until they are released."""
+        """Stops reporting the selected sockets until `resume` is called.
+
+        Args:
+            name: Name under which the sockets are suspended.
+            predicate: Returns whether to suspend a socket.
+        """
         keys = [key for _, key in self._receiving.values()]
-        keys = [k for k in [*keys, *self._others.values()] if chosen(k)]
+        keys = [k for k in [*keys, *self._polled.values()] if predicate(k)]
         for key in keys:
             self._remove(key)
-        self._held[name] = keys
+        self._suspended[name] = keys
 
     def suspended_keys(self, name: str) -> list[selectors.SelectorKey]:
-        """Returns the sockets that are held under a name."""
-        return self._held.get(name, [])
+        """Returns the sockets that are suspended under a name."""
+        return self._suspended.get(name, [])
 
     def resume(self, name: str) -> None:
-        """Reports held sockets again that have not been closed."""
-        for key in self._held.pop(name, []):
+        """Reports suspended sockets again, except those closed meanwhile."""
+        for key in self._suspended.pop(name, []):
             if self.get_map().get(key.fileobj) is key:
                 self._add(key)
 
     def register(
         self, fileobj: Any, events: int, data: Any = None
     ) -> selectors.SelectorKey:
-        """Starts to watch a socket."""
+        """Starts watching a socket."""
         key = super().register(fileobj, events, data)
         self._add(key)
         return key
@@ -76,7 +82,7 @@
     def modify(
         self, fileobj: Any, events: int, data: Any = None
     ) -> selectors.SelectorKey:
-        """Changes what a socket is watched for."""
+        """Changes the events that a socket is watched for."""
         key = super().modify(fileobj, events, data)
         self._remove(key)
         self._add(key)
@@ -85,7 +91,11 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Returns the ready sockets, else advances the clock."""
+        """Returns the ready sockets; advances the clock if there are none.
+
+        Raises:
+            SleepForeverError: No socket is ready and no timer is pending.
+        """
         ready = [
             (key, selectors.EVENT_READ)
             for queue, key in self._receiving.values()
@@ -93,15 +103,19 @@
         ]
         ready += [
             (key, events)
-            for key in self._others.values()
+            for key in self._polled.values()
             if (events := _ready_events(key))
         ]
         if ready:
             return ready
         if timeout is None or timeout >= MAX_SLEEP_S:
-            raise async_solipsism.SleepForeverError("nothing left to wait for")
+            raise async_solipsism.SleepForeverError(
+                "no socket is ready and no timer is pending"
+            )
         if timeout > 0:
-            step_s = max(timeout, self.clock.resolution)  # never stands still
+            step_s = max(
+                timeout, self.clock.resolution
+            )  # at least one clock tick
             self.clock.advance(step_s)
         return []
 
@@ -110,11 +124,11 @@
         if type(socket) is Socket and key.events == selectors.EVENT_READ:
             self._receiving[id(socket)] = (socket._read_queue, key)
         else:
-            self._others[id(socket)] = key
+            self._polled[id(socket)] = key
 
     def _remove(self, key: selectors.SelectorKey) -> None:
         self._receiving.pop(id(key.fd.socket), None)
-        self._others.pop(id(key.fd.socket), None)
+        self._polled.pop(id(key.fd.socket), None)
 
 
 def _ready_events(key: selectors.SelectorKey) -> int:
@@ -132,9 +146,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        own = self._selector
-        self._selector = IndexedSelector(own.clock)
-        own.close()
+        default_selector = self._selector
+        self._selector = IndexedSelector(default_selector.clock)
+        default_selector.close()
         self._free_ports = itertools.count(FIRST_FREE_PORT)
 
     async def create_server(
@@ -144,9 +158,9 @@
         port: int | None = None,
         **kwargs: Any,
     ) -> asyncio.Server:
-        """Opens a listener; port 0 takes a port that was never used before.
+        """Opens a listener; port 0 selects a port that was never used before.
 
-        A port that is closed for a while thus stays its last listener's own.
+        The port of a closed listener is therefore not given to another one.
         """
         if port == 0:
             port = next(self._free_ports)
@@ -181,8 +195,8 @@
 async def open_session(**options: Any) -> AsyncIterator[aiohttp.ClientSession]:
     """Opens a client session on the in-memory network.
 
-    Unlike aiohttp's default, no call is sent twice when a kept connection
-    breaks, since tests count what stand-ins receive.
+    Disables aiohttp's default of retrying a request when a kept-alive
+    connection breaks, because tests count the requests that stand-ins receive.
     """
     options.setdefault("connector", SimulatedConnector(limit=0))
     async with aiohttp.ClientSession(**options) as session:
@@ -196,15 +210,15 @@
     *,
     seed: int = 1,
 ) -> ResultT:
-    """Runs a coroutine function to its end in virtual time, repeatably.
+    """Runs a coroutine function in virtual time with repeatable results.
 
     Args:
-        function: Takes no arguments.
+        function: Coroutine function without arguments.
         loop_class: Class of the event loop.
-        seed: Seed of the ids that the program draws.
+        seed: Seed of the ids that the code under test draws.
 
     Returns:
-        What it returns.
+        The result of the function.
     """
     loop = loop_class()
     try:
--- a/src/auburnswitch/experiments/zone_move.py
+++ b/src/auburnswitch/experiments/zone_move.py
@@ -1,4 +1,4 @@
-"""Measures the service while an availability zone leaves and returns.
+"""Measures latency while an availability zone is taken out and back.
 
 Run ``python -m auburnswitch.experiments.zone_move --help``.
 """
@@ -48,16 +48,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class ZoneMoveSummary:
-    """What callers and engines saw of the move.
+    """Results of the zone move for callers and engines.
 
     Attributes:
-        policy: The policy's name.
-        load: Offered share of the prefill capacity of all zones.
-        phases: Summary by length class, by name of the minute.
-        lost: Requests that were not answered whole, by result code.
+        policy: Name of the policy.
+        load: Offered load as a share of the prefill capacity of all zones.
+        phases: Summaries by length class, by name of the phase.
+        lost: Number of requests without a complete answer, by result code.
         started_after_bound: Requests that an engine of the zone started more
-            than three seconds after the ticket and before its return.
-        most_cold: Most requests at one time on an engine that was cold.
+            than three seconds after the ticket and before the zone's return.
+        most_cold: Maximum number of concurrent requests on a cold engine.
         took_s: Wall time of the run, in seconds.
     """
 
@@ -71,8 +71,8 @@
 
 
 def run_zone_move(policy: str, load: float, seed: int) -> ZoneMoveSummary:
-    """Runs the scenario in virtual time."""
-    # a development dependency, which daemons and tools do without
+    """Runs the scenario in virtual time and returns its summary."""
+    # imported here: needs a development dependency that daemons do not have
     from auburnswitch.experiments.virtual_time import run_virtual
 
     started_at = time.perf_counter()
@@ -106,7 +106,7 @@
     await asyncio.sleep(ZONE_BACK_AT_S - ZONE_OUT_AT_S - ENGINE_RESTART_S)
     for number, engine in enumerate(fleet.engines.values()):
         if fleet.zone(number) == ZONES[0]:
-            engine.crash("restart")  # it returns cold
+            engine.crash("restart")  # restarts cold
     await asyncio.sleep(ENGINE_RESTART_S)
     change = fleet.zone_change(ZONES[0])
     await fleet.apply(fleet.ticket([change], "the zone returns"))
@@ -121,8 +121,8 @@
 ) -> ZoneMoveSummary:
     summary = ZoneMoveSummary(policy=policy, load=load)
     for name, (begin_s, end_s) in PHASE_BOUNDS_S.items():
-        own = [s for s in samples if begin_s <= s.offset_s < end_s]
-        summary.phases[name] = summarize_lengths(own)
+        phase_samples = [s for s in samples if begin_s <= s.offset_s < end_s]
+        summary.phases[name] = summarize_lengths(phase_samples)
     lost = [s.result for s in samples if s.result != "ok"]
     summary.lost = dict(collections.Counter(lost))
     in_zone = {
@@ -143,8 +143,8 @@
                 ):
                     summary.started_after_bound += 1
                 if record.fields["cold"]:
-                    most = max(summary.most_cold, running[record.actor])
-                    summary.most_cold = most
+                    max_on_cold = max(summary.most_cold, running[record.actor])
+                    summary.most_cold = max_on_cold
             case HistoryKind.REQUEST_FINISHED | HistoryKind.REQUEST_CANCELLED:
                 running[record.actor] -= 1
             case HistoryKind.CRASHED:
@@ -152,14 +152,14 @@
     return summary
 
 
-def _lines(summary: ZoneMoveSummary) -> list[str]:
+def _summary_lines(summary: ZoneMoveSummary) -> list[str]:
     lines = [f"{summary.policy}, load {summary.load}"]
     for name, lengths in summary.phases.items():
-        for length, own in lengths.items():
+        for length, row in lengths.items():
             lines.append(
-                f"  {name}: {length}: p50 {own.p50_s:.3f} s,"
-                f" p95 {own.p95_s:.3f} s, p99 {own.p99_s:.3f} s,"
-                f" {own.outcomes}"
+                f"  {name}: {length}: p50 {row.p50_s:.3f} s,"
+                f" p95 {row.p95_s:.3f} s, p99 {row.p99_s:.3f} s,"
+                f" {row.outcomes}"
             )
     short = LengthClass.SHORT.name.lower()
     before_s = summary.phases["before"][short].p95_s
@@ -176,16 +176,16 @@
 def main(
     *, policy: str = "owner", load: float = 0.5, seed: int = 1, save: str = ""
 ) -> None:
-    """Moves a zone out and back under load and prints what callers saw.
+    """Takes a zone out and back under load and prints the results.
 
     Args:
         policy: Name of the policy, owner or two-choices.
-        load: Offered share of the prefill capacity of all zones.
+        load: Offered load as a share of the prefill capacity of all zones.
         seed: Seed of the arrivals.
-        save: File for the results in JSON; empty saves nothing.
+        save: Path of a JSON file for the results; empty to save nothing.
     """
     summary = run_zone_move(policy, load, seed)
-    for line in _lines(summary):
+    for line in _summary_lines(summary):
         print(line)
     if save:
         text = json.dumps(asdict(summary), indent=1)
--- a/tests/endpoints/test_unschedulable.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -143,7 +143,9 @@
             self.out_at = monotonic_s()
             await asyncio.sleep(5)
             bench.fleet.thaw_daemon(number)
-            bench.fleet.daemons[owner] = bench.fleet.running[owner].daemon
+            bench.fleet.daemons[owner] = bench.fleet.running_daemons[
+                owner
+            ].daemon
             for _ in range(9):
                 bench.send(owner)
 
--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -16,7 +16,7 @@
 
 
 def explore_states(
-    first: State,
+    initial: State,
     next_states: Callable[[State], Iterable[State]],
     check: Callable[[State], None],
 ) -> int:
@@ -25,25 +25,25 @@
     Raises:
         InvariantViolationError: The check failed, with the way to the state.
     """
-    came_from: dict[State, State | None] = {first: None}
-    queue = collections.deque([first])
+    predecessors: dict[State, State | None] = {initial: None}
+    queue = collections.deque([initial])
     while queue:
         state = queue.popleft()
         try:
             check(state)
         except InvariantViolationError as error:
             raise InvariantViolationError(
-                f"{error}: {_way(came_from, state)}"
+                f"{error}: {_path_to(predecessors, state)}"
             ) from None
-        for after in next_states(state):
-            if after not in came_from:
-                came_from[after] = state
-                queue.append(after)
-    return len(came_from)
-
-
-def _way(came_from: dict[State, State | None], state: State) -> str:
-    steps = [state]
-    while (state := came_from[state]) is not None:
-        steps.append(state)
-    return " <- ".join(str(step) for step in steps)
+        for next_state in next_states(state):
+            if next_state not in predecessors:
+                predecessors[next_state] = state
+                queue.append(next_state)
+    return len(predecessors)
+
+
+def _path_to(predecessors: dict[State, State | None], state: State) -> str:
+    path = [state]
+    while (state := predecessors[state]) is not None:
+        path.append(state)
+    return " <- ".join(str(state_on_path) for state_on_path in path)
