--- a/src/auburnswitch/experiments/actions.py
+++ b/src/auburnswitch/experiments/actions.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Wait:
-    """Lets time pass."""
+    """Waits for `seconds` seconds."""
 
     seconds: float
 
--- a/src/auburnswitch/experiments/arrivals.py
+++ b/src/auburnswitch/experiments/arrivals.py
@@ -86,9 +86,9 @@
     daemons: int,
     duration_s: float,
 ) -> list[Arrival]:
-    """Generates arrivals whose prompt tokens sum up to the given load.
+    """Generates arrivals whose prompt tokens add up to the given load.
 
-    Arrival times are uniform, as in a Poisson process with a known number of
+    Arrival times are uniform, as in a Poisson process with a fixed number of
     arrivals. Prompt lengths are stratified: the range of a length class is
     divided into as many equal intervals as it has requests, and one length is
     drawn from each.
--- a/src/auburnswitch/experiments/chaos.py
+++ b/src/auburnswitch/experiments/chaos.py
@@ -55,8 +55,8 @@
         tasks: Running calls and faults.
         down_daemons: Numbers of the daemons that are killed or restarting.
         frozen_daemons: Numbers of the frozen daemons.
-        moving_zones: Zones that are out of service or on their way out or
-            back.
+        moving_zones: Zones that an action has taken out of service and not
+            returned yet.
     """
 
     __slots__ = (
--- a/tests/experiments/test_checker.py
+++ b/tests/experiments/test_checker.py
@@ -1,4 +1,4 @@
-"""Tests that the checker finds each kind of broken history."""
+"""Tests that the checker detects every kind of invariant violation."""
 
 from __future__ import annotations
 
@@ -24,37 +24,37 @@
 
 
 def history(*records):
-    result = History()
+    run_history = History()
     for time_s, actor, kind, fields in records:
         record = HistoryRecord(
             time_s=time_s, actor=actor, kind=kind, fields=fields
         )
-        result.records.append(record)
-    return result
+        run_history.records.append(record)
+    return run_history
 
 
 def plain_run(name, time_s=1.0):
     return (time_s, "b", HistoryKind.PLAIN_RUN, {"request_id": f"{name}.1f"})
 
 
-def taken(name, kind=HistoryKind.MEMORY_TAKEN):
+def memory_record(name, kind=HistoryKind.MEMORY_TAKEN):
     return (1.0, "e", kind, {"request_id": name, "attempt": 1})
 
 
 class CheckerTest(unittest.TestCase):
-    def rules(self, records=(), calls=(), **values):
+    def violated_invariants(self, records=(), calls=(), **values):
         run = RunHistory(history=history(*records), calls=list(calls), **values)
         return [violation.invariant for violation in check_run(run)]
 
-    def test_good_history(self):
+    def test_history_without_violations(self):
         booking = call("call-2", idempotent=False, key="k")
         records = [
             plain_run("call-2"),
-            taken("x.1"),
-            taken("x.1", HistoryKind.MEMORY_FREED),
+            memory_record("x.1"),
+            memory_record("x.1", HistoryKind.MEMORY_FREED),
         ]
         calls = [call(expected="ab"), booking]
-        self.assertEqual(self.rules(records, calls), [])
+        self.assertEqual(self.violated_invariants(records, calls), [])
 
     def test_second_run_of_a_key(self):
         calls = [
@@ -63,29 +63,37 @@
         ]
         records = [plain_run("call-1"), plain_run("call-2")]
         self.assertEqual(
-            self.rules(records, calls), [RunInvariant.AT_MOST_ONCE]
+            self.violated_invariants(records, calls),
+            [RunInvariant.AT_MOST_ONCE],
         )
 
     def test_second_run_without_a_key(self):
         records = [plain_run("call-1"), plain_run("call-1")]
         calls = [call(idempotent=False)]
         self.assertEqual(
-            self.rules(records, calls), [RunInvariant.AT_MOST_ONCE]
+            self.violated_invariants(records, calls),
+            [RunInvariant.AT_MOST_ONCE],
         )
 
     def test_partial_or_foreign_answer(self):
         for text in ("a", "abb", "xy"):
             outcome = CallOutcome(result="ok", text=text)
             calls = [call(expected="ab", outcome=outcome)]
-            self.assertEqual(self.rules((), calls), [RunInvariant.WHOLE_ANSWER])
+            self.assertEqual(
+                self.violated_invariants((), calls), [RunInvariant.WHOLE_ANSWER]
+            )
         outcome = CallOutcome(result="stream_broken", text="x")
         calls = [call(expected="ab", outcome=outcome)]
-        self.assertEqual(self.rules((), calls), [RunInvariant.WHOLE_ANSWER])
+        self.assertEqual(
+            self.violated_invariants((), calls), [RunInvariant.WHOLE_ANSWER]
+        )
 
     def test_refused_as_not_run_but_ran(self):
         outcome = CallOutcome(result="queue_full", ran="no")
-        rules = self.rules([plain_run("call-1")], [call(outcome=outcome)])
-        self.assertEqual(rules, [RunInvariant.NOT_RUN])
+        invariants = self.violated_invariants(
+            [plain_run("call-1")], [call(outcome=outcome)]
+        )
+        self.assertEqual(invariants, [RunInvariant.NOT_RUN])
 
     def test_late_missing_or_broken_answer(self):
         late = CallOutcome(result="ok", total_s=12)
@@ -99,21 +107,24 @@
         ]
         for outcome, invariant in cases:
             self.assertEqual(
-                self.rules((), [call(outcome=outcome)]), [invariant]
+                self.violated_invariants((), [call(outcome=outcome)]),
+                [invariant],
             )
-        for lost, excused in (
+        for outage, excused in (
             (DaemonOutage(daemon="entry-0", began_at=0), True),
             (DaemonOutage(daemon="entry-0", began_at=90), False),
             (DaemonOutage(daemon="entry-1", began_at=0), False),
             (DaemonOutage(daemon="entry-0", began_at=0, killed=False), False),
         ):
-            rules = self.rules(
-                (), [call(outcome=broken)], daemon_outages=[lost]
+            invariants = self.violated_invariants(
+                (), [call(outcome=broken)], daemon_outages=[outage]
+            )
+            self.assertEqual(
+                invariants, [] if excused else [RunInvariant.ANSWERED]
             )
-            self.assertEqual(rules, [] if excused else [RunInvariant.ANSWERED])
 
-    def test_work_on_a_closed_endpoint(self):
-        closing = UnschedulablePeriod(
+    def test_request_on_an_unschedulable_endpoint(self):
+        period = UnschedulablePeriod(
             endpoint="b", accepted_at=10, schedulable_at=50
         )
         for time_s, expected in (
@@ -122,22 +133,28 @@
             (51, []),
         ):
             records = [plain_run("call-9", time_s)]
-            rules = self.rules(records, unschedulable_periods=[closing])
-            self.assertEqual(rules, expected)
+            invariants = self.violated_invariants(
+                records, unschedulable_periods=[period]
+            )
+            self.assertEqual(invariants, expected)
 
-    def test_work_that_waited_in_a_frozen_endpoint(self):
-        closing = UnschedulablePeriod(
+    def test_request_delayed_by_a_frozen_endpoint(self):
+        period = UnschedulablePeriod(
             endpoint="b", accepted_at=10, schedulable_at=50
         )
         for arrived_s, expected in ((12, []), (14, [RunInvariant.CLOSED])):
             record = plain_run("call-9", 20)
             record[3]["arrived_s"] = arrived_s
-            rules = self.rules([record], unschedulable_periods=[closing])
-            self.assertEqual(rules, expected)
+            invariants = self.violated_invariants(
+                [record], unschedulable_periods=[period]
+            )
+            self.assertEqual(invariants, expected)
 
     def test_overloaded_cold_endpoint(self):
         crash = (9.0, "e", HistoryKind.CRASHED, {"cause": "cold overload"})
-        self.assertEqual(self.rules([crash]), [RunInvariant.COLD_BOUND])
+        self.assertEqual(
+            self.violated_invariants([crash]), [RunInvariant.COLD_BOUND]
+        )
         cold = (1.0, "e", HistoryKind.TURNED_COLD, {})
         kinds = (HistoryKind.REQUEST_STARTED, HistoryKind.REQUEST_FINISHED)
         first, second, third = (
@@ -148,24 +165,32 @@
             ([cold, *first], []),
             ([cold, *first, *second], [RunInvariant.COLD_BOUND]),
             ([cold, *second, *third], []),
-            ([first[0], cold, first[1], *second], []),  # began before it
+            # the first request began before the cold turn
+            ([first[0], cold, first[1], *second], []),
         ):
-            self.assertEqual(self.rules([*records, crash]), expected)
-        again = self.rules([cold, crash, crash])  # a new start is known
-        self.assertEqual(again, [RunInvariant.COLD_BOUND])
+            self.assertEqual(
+                self.violated_invariants([*records, crash]), expected
+            )
+        # the restart after a crash is announced
+        invariants = self.violated_invariants([cold, crash, crash])
+        self.assertEqual(invariants, [RunInvariant.COLD_BOUND])
 
-    def test_memory_kept(self):
+    def test_unreleased_memory(self):
         self.assertEqual(
-            self.rules([taken("x.1")]), [RunInvariant.MEMORY_FREED]
+            self.violated_invariants([memory_record("x.1")]),
+            [RunInvariant.MEMORY_FREED],
         )
         crash = (2.0, "e", HistoryKind.CRASHED, {"cause": "switch"})
-        self.assertEqual(self.rules([taken("x.1"), crash]), [])
+        self.assertEqual(
+            self.violated_invariants([memory_record("x.1"), crash]), []
+        )
 
-    def test_reverted_state(self):
+    def test_reverted_configuration(self):
         samples = [
             ConfigSample(member_id="m", ticket_numbers={"zone/a": number})
             for number in (1, 3, 2)
         ]
         self.assertEqual(
-            self.rules(samples=samples), [RunInvariant.STATE_MONOTONIC]
+            self.violated_invariants(samples=samples),
+            [RunInvariant.STATE_MONOTONIC],
         )
--- a/tests/experiments/test_entry_demo.py
+++ b/tests/experiments/test_entry_demo.py
@@ -1,4 +1,4 @@
-"""The demo of entry daemons shows what it says."""
+"""Tests the output of the demo of entry daemons."""
 
 from __future__ import annotations
 
--- a/tests/experiments/test_failures.py
+++ b/tests/experiments/test_failures.py
@@ -1,4 +1,4 @@
-"""Tests of collecting the daemons' own faults."""
+"""Tests of collecting the daemons' internal errors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FailuresTest(unittest.TestCase):
-    def test_failed_task_and_violated_invariant_are_kept(self):
+    def test_collects_failed_tasks_and_violated_invariants(self):
         async def fail():
             raise ValueError("unexpected")
 
--- a/tests/experiments/test_fleet.py
+++ b/tests/experiments/test_fleet.py
@@ -10,7 +10,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    def test_nine_daemons_agree(self):
+    def test_nine_daemons_have_the_same_roster(self):
         async def scenario():
             options = FleetOptions(
                 engines=20, daemons=9, connector=SimulatedConnector
--- a/tests/experiments/test_freezable_loop.py
+++ b/tests/experiments/test_freezable_loop.py
@@ -28,7 +28,7 @@
 
 
 class EchoProtocol(asyncio.Protocol):
-    """Sends back what it reads; closes after a time without anything."""
+    """Echoes received bytes; closes if none arrive within `IDLE_S`."""
 
     def connection_made(self, transport):
         self.transport = transport
@@ -41,7 +41,7 @@
 
 
 class FreezableLoopTest(unittest.TestCase):
-    def test_frozen_daemon_is_silent_then_goes_on(self):
+    def test_frozen_daemon_does_not_respond_until_thawed(self):
         async def scenario():
             async with open_fleet(OPTIONS) as fleet:
                 daemon = fleet.daemons["entry-1"]
--- a/tests/experiments/test_placement.py
+++ b/tests/experiments/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the placement experiment itself."""
+"""Tests of the placement experiment and its report."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 )
 from auburnswitch.schema.peers import LengthClass
 
-CAPACITY = 400_000
+CAPACITY_TOKENS_PER_S = 400_000
 
 
 def arrivals(seed, load):
     return generate_arrivals(
         seed=seed,
         load=load,
-        capacity_tokens_per_s=CAPACITY,
+        capacity_tokens_per_s=CAPACITY_TOKENS_PER_S,
         daemons=9,
         duration_s=300,
     )
@@ -47,15 +47,21 @@
     def test_offered_load_and_mix(self, seed, load):
         drawn = arrivals(seed, load)
         tokens = sum(arrival.tokens for arrival in drawn)
-        self.assertAlmostEqual(tokens / (CAPACITY * 300), load, delta=0.01)
+        self.assertAlmostEqual(
+            tokens / (CAPACITY_TOKENS_PER_S * 300), load, delta=0.01
+        )
         times = [arrival.offset_s for arrival in drawn]
         self.assertEqual(times, sorted(times))
-        for part in PROMPT_LENGTH_MIX:
-            own = [a for a in drawn if a.length_class is part.length_class]
-            self.assertAlmostEqual(len(own) / len(drawn), part.share, 2)
-            for arrival in own:
-                self.assertGreaterEqual(arrival.tokens, part.min_tokens)
-                self.assertLessEqual(arrival.tokens, part.max_tokens)
+        for length_share in PROMPT_LENGTH_MIX:
+            class_arrivals = [
+                a for a in drawn if a.length_class is length_share.length_class
+            ]
+            self.assertAlmostEqual(
+                len(class_arrivals) / len(drawn), length_share.share, 2
+            )
+            for arrival in class_arrivals:
+                self.assertGreaterEqual(arrival.tokens, length_share.min_tokens)
+                self.assertLessEqual(arrival.tokens, length_share.max_tokens)
 
     def test_same_seed_same_arrivals(self):
         self.assertEqual(arrivals(7, 0.5), arrivals(7, 0.5))
@@ -70,7 +76,7 @@
         self.assertAlmostEqual(p95_s, 0.95, 3)
         self.assertAlmostEqual(p99_s, 0.99, 3)
 
-    def test_comparison_names_every_target(self):
+    def test_comparison_covers_every_target(self):
         runs = [
             summary("owner", True, 0.6, 30),
             summary("owner", False, 0.4, 30),
@@ -86,12 +92,12 @@
 
 
 class RunTest(unittest.TestCase):
-    def test_each_policy_answers_everything(self):
+    def test_every_policy_completes_all_requests(self):
         for policy in ("two-choices", "owner", "oracle"):
             with self.subTest(policy=policy):
                 run = run_policy(
                     RunOptions(policy=policy, load=0.1, ramp_s=0, duration_s=3)
                 )
-                outcomes = [own.outcomes for own in run.lengths.values()]
+                outcomes = [row.outcomes for row in run.lengths.values()]
                 self.assertEqual({k for o in outcomes for k in o}, {"ok"})
                 self.assertIn(LengthClass.SHORT.name.lower(), run.lengths)
--- a/tests/experiments/test_virtual_time.py
+++ b/tests/experiments/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""Tests of the in-memory network."""
+"""Tests of the in-memory network of the virtual-time loop."""
 
 from __future__ import annotations
 
--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -1,4 +1,4 @@
-"""Visits every state that a small model can get into."""
+"""Explicit-state model checker for small models."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class InvariantViolationError(AssertionError):
-    """A state was found in which a rule does not hold."""
+    """A reachable state violates an invariant."""
 
 
 def explore_states(
@@ -20,10 +20,17 @@
     next_states: Callable[[State], Iterable[State]],
     check: Callable[[State], None],
 ) -> int:
-    """Visits all states, breadth first; returns their number.
+    """Visits all reachable states breadth first and returns their number.
+
+    Args:
+        initial: Initial state.
+        next_states: Returns the successors of a state.
+        check: Raises InvariantViolationError for a state that violates an
+            invariant.
 
     Raises:
-        InvariantViolationError: The check failed, with the way to the state.
+        InvariantViolationError: The check failed; the message has the path
+            from the failing state back to the initial one.
     """
     predecessors: dict[State, State | None] = {initial: None}
     queue = collections.deque([initial])
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Runs daemons and stand-ins as processes of their own on loopback."""
+"""Runs daemons and stand-ins as separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -27,13 +27,14 @@
 
 
 class DaemonProcess:
-    """A daemon and where it listens.
+    """A daemon process, its addresses and its log.
 
     Attributes:
         process: The process.
-        callers: Base URL for callers.
-        operators: Base URL for operators.
+        callers: Base URL for callers; empty until the daemon has started.
+        operators: Base URL for operators; empty until the daemon has started.
         events: Log events read so far.
+        reader: Task that reads further log events.
     """
 
     def __init__(self, *, process: asyncio.subprocess.Process) -> None:
@@ -55,7 +56,7 @@
 
     def record_event(self, line: bytes) -> None:
         if not line:
-            raise RuntimeError("the daemon ended before it started")
+            raise RuntimeError("the daemon's log ended before its start event")
         with contextlib.suppress(ValueError):
             event = json.loads(line)
             self.events.append(event)
@@ -65,12 +66,13 @@
 
 
 class ProcessFleet:
-    """Processes of one test, ended with it.
+    """The daemon and stand-in processes of one test.
 
     Attributes:
         session: HTTP client of callers and operators.
+        folder: Directory of settings and key files.
         urls: Base URL of each stand-in, by name.
-        processes: Every process by name.
+        processes: Every process, by name.
         daemons: Daemons by instance name.
     """
 
@@ -133,7 +135,11 @@
             return await response.json()
 
     async def wait_ready(self, live: int) -> None:
-        """Waits until every daemon is ready and sees the others."""
+        """Waits until all daemons are ready with the same configuration.
+
+        Args:
+            live: Number of live members that every daemon must report.
+        """
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 statuses = [await self.status(name) for name in self.daemons]
@@ -164,7 +170,7 @@
 
 @contextlib.asynccontextmanager
 async def open_process_fleet() -> AsyncIterator[ProcessFleet]:
-    """Yields an empty fleet and ends its processes at the end."""
+    """Yields an empty fleet and kills its processes when the context ends."""
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "operator.key").write_text(OPERATOR_KEY, "utf-8")
         Path(folder, "peer.key").write_text("peer-key", "utf-8")
--- a/tests/proof/test_processes.py
+++ b/tests/proof/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of killed, stopped and disturbed processes on loopback."""
+"""Tests with killed, frozen and terminated processes on loopback."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     open_process_fleet,
 )
 
-LIMIT_S = 90
-MEMORY_FREED_TIMEOUT_S = 30  # the caller's longest wait at a counter
+TEST_TIMEOUT_S = 90
+MEMORY_FREED_TIMEOUT_S = 30  # longest time a caller waits at a service counter
 PROMPT = "hello " * 100
-TOKENS = 120  # a stream of some three seconds
-FEW_TOKENS = 8
-MANY_TOKENS = 400
+ANSWER_TOKENS = 120  # streamed in about three seconds
+SHORT_ANSWER_TOKENS = 8
+LONG_ANSWER_TOKENS = 400
 FREEZE_S = 4
 SERVICE_TIME_ARGUMENT = "--service_time_s=2"
 
 
 @contextlib.asynccontextmanager
 async def open_fleet(daemons: int = 3):
-    async with asyncio.timeout(LIMIT_S), open_process_fleet() as fleet:
+    async with asyncio.timeout(TEST_TIMEOUT_S), open_process_fleet() as fleet:
         await fleet.start_standin("platform", "platform")
         for name in ("engine-1", "engine-2"):
             await fleet.start_standin(name, "engine", "--starts_warm=True")
@@ -44,7 +44,7 @@
 
 
 async def complete(
-    fleet: ProcessFleet, daemon: DaemonProcess, tokens: int = TOKENS
+    fleet: ProcessFleet, daemon: DaemonProcess, tokens: int = ANSWER_TOKENS
 ) -> CallOutcome:
     body = {"model": "chat", "prompt": PROMPT, "max_tokens": tokens}
     return await stream_completion(
@@ -53,7 +53,7 @@
 
 
 async def book(fleet: ProcessFleet, daemon: DaemonProcess, key: str) -> int:
-    """Books and returns the HTTP status, 0 for a broken connection."""
+    """Sends a booking; returns the HTTP status, 0 for a broken connection."""
     try:
         async with fleet.session.post(
             daemon.callers + "/services/desk/bookings",
@@ -68,35 +68,38 @@
 
 async def drop_connections(fleet: ProcessFleet, name: str) -> None:
     url = fleet.urls[name] + "/control"
-    with contextlib.suppress(aiohttp.ServerDisconnectedError):  # this one too
+    # the engine drops the connection of this call too
+    with contextlib.suppress(aiohttp.ServerDisconnectedError):
         await fleet.session.post(url, json={"drop_connections": True})
 
 
-async def count_history(fleet: ProcessFleet, name: str, part: str) -> int:
+async def count_history(fleet: ProcessFleet, name: str, pattern: str) -> int:
     url = fleet.urls[name] + "/control/history"
     async with fleet.session.get(url) as response:
-        return (await response.text()).count(part)
+        return (await response.text()).count(pattern)
 
 
-async def wait_until(holds) -> None:
-    while not await holds():
+async def wait_until(condition) -> None:
+    while not await condition():
         await asyncio.sleep(0.05)
 
 
 async def wait_running(fleet: ProcessFleet, count: int = 1) -> None:
-    """Waits until the engines have begun that many streams."""
+    """Waits until the engines have started `count` streams."""
 
-    async def holds():
-        part = '"kind":"memory_taken"'
+    async def condition():
+        pattern = '"kind":"memory_taken"'
         engines = [name for name in fleet.urls if name.startswith("engine")]
-        begun = [await count_history(fleet, name, part) for name in engines]
-        return sum(begun) >= count
+        started = [
+            await count_history(fleet, name, pattern) for name in engines
+        ]
+        return sum(started) >= count
 
-    await wait_until(holds)
+    await wait_until(condition)
 
 
 async def wait_memory_freed(fleet: ProcessFleet) -> None:
-    async def holds():
+    async def condition():
         used = 0
         for name in ("engine-1", "engine-2"):
             async with fleet.session.get(fleet.urls[name] + "/load") as reply:
@@ -104,32 +107,36 @@
         return used == 0
 
     async with asyncio.timeout(MEMORY_FREED_TIMEOUT_S):
-        await wait_until(holds)
+        await wait_until(condition)
 
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
-    def check_whole(self, outcome: CallOutcome, tokens: int = TOKENS):
+    def check_complete_answer(
+        self, outcome: CallOutcome, tokens: int = ANSWER_TOKENS
+    ):
         expected = answer_text(prompt_digest(PROMPT), tokens)
         self.assertEqual((outcome.result, outcome.text), ("ok", expected))
 
-    async def test_killed_entry_daemon(self):
+    async def test_killed_daemon_with_running_calls(self):
         async with open_fleet() as fleet:
             entry, other = fleet.daemons["entry-0"], fleet.daemons["entry-1"]
             booking = asyncio.create_task(book(fleet, entry, "key-1"))
-            part = '"path":"/bookings"'
-            await wait_until(lambda: count_history(fleet, "plain-1", part))
-            stream = asyncio.create_task(complete(fleet, entry, MANY_TOKENS))
+            pattern = '"path":"/bookings"'
+            await wait_until(lambda: count_history(fleet, "plain-1", pattern))
+            stream = asyncio.create_task(
+                complete(fleet, entry, LONG_ANSWER_TOKENS)
+            )
             await wait_running(fleet)
             entry.process.kill()
             self.assertEqual((await stream).result, "broken")
             self.assertIn(await booking, (0, 200, 201))
-            again = await book(fleet, other, "key-1")
-            self.assertIn(again, (409, 200, 201))
-            self.assertEqual(await count_history(fleet, "plain-1", part), 1)
-            self.check_whole(await complete(fleet, other))
+            repeated_status = await book(fleet, other, "key-1")
+            self.assertIn(repeated_status, (409, 200, 201))
+            self.assertEqual(await count_history(fleet, "plain-1", pattern), 1)
+            self.check_complete_answer(await complete(fleet, other))
             await wait_memory_freed(fleet)
 
-    async def test_killed_owner(self):
+    async def test_killed_endpoint_owner(self):
         async with open_fleet() as fleet:
             owners = {}
             for name in fleet.daemons:
@@ -144,27 +151,27 @@
             await wait_running(fleet, len(streams))
             fleet.daemons[owner].process.kill()
             for stream in streams:
-                self.check_whole(await stream)
+                self.check_complete_answer(await stream)
             del fleet.daemons[owner]
             for daemon in fleet.daemons.values():
-                self.check_whole(await complete(fleet, daemon))
+                self.check_complete_answer(await complete(fleet, daemon))
             await wait_memory_freed(fleet)
 
-    async def test_stopped_and_continued_daemon(self):
+    async def test_frozen_and_resumed_daemon(self):
         async with open_fleet() as fleet:
             frozen, other = fleet.daemons["entry-0"], fleet.daemons["entry-1"]
             stream = asyncio.create_task(complete(fleet, frozen))
             await wait_running(fleet)
             frozen.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(FREEZE_S)
-            self.check_whole(await complete(fleet, other))
+            self.check_complete_answer(await complete(fleet, other))
             frozen.process.send_signal(signal.SIGCONT)
-            self.check_whole(await stream)
+            self.check_complete_answer(await stream)
             await fleet.wait_ready(live=3)
-            self.check_whole(await complete(fleet, frozen))
+            self.check_complete_answer(await complete(fleet, frozen))
             await wait_memory_freed(fleet)
 
-    async def test_terminated_under_load(self):
+    async def test_graceful_stop_under_load(self):
         async with open_fleet() as fleet:
             ending = fleet.daemons["entry-0"]
             streams = [
@@ -172,24 +179,26 @@
             ]
             await wait_running(fleet)
             booking = asyncio.create_task(book(fleet, ending, "key-1"))
-            part = '"path":"/bookings"'
-            await wait_until(lambda: count_history(fleet, "plain-1", part))
+            pattern = '"path":"/bookings"'
+            await wait_until(lambda: count_history(fleet, "plain-1", pattern))
             ending.process.send_signal(signal.SIGTERM)
 
-            async def refuses():
+            async def is_not_ready():
                 url = ending.operators + "/readyz"
                 async with fleet.session.get(url) as reply:
                     return reply.status == 503
 
-            await wait_until(refuses)
-            late = await complete(fleet, ending, FEW_TOKENS)
-            self.assertEqual((late.result, late.ran), ("shutting_down", "no"))
+            await wait_until(is_not_ready)
+            late_outcome = await complete(fleet, ending, SHORT_ANSWER_TOKENS)
+            self.assertEqual(
+                (late_outcome.result, late_outcome.ran), ("shutting_down", "no")
+            )
             self.assertLess(await booking, 300)
             for stream in streams:
-                self.check_whole(await stream)
+                self.check_complete_answer(await stream)
             self.assertEqual(await ending.process.wait(), 0)
 
-    async def test_stopped_and_started_platform(self):
+    async def test_frozen_and_resumed_platform(self):
         async with open_fleet() as fleet:
             daemons = list(fleet.daemons.values())
             platform = fleet.processes["platform"]
@@ -197,22 +206,23 @@
             await wait_running(fleet)
             platform.send_signal(signal.SIGSTOP)
             for daemon in daemons:
-                self.check_whole(
-                    await complete(fleet, daemon, FEW_TOKENS), FEW_TOKENS
+                self.check_complete_answer(
+                    await complete(fleet, daemon, SHORT_ANSWER_TOKENS),
+                    SHORT_ANSWER_TOKENS,
                 )
-            self.check_whole(await stream)
-            refused = await book(fleet, daemons[0], "key-1")
-            self.assertEqual(refused, 503)
-            part = '"path":"/bookings"'
-            self.assertEqual(await count_history(fleet, "plain-1", part), 0)
+            self.check_complete_answer(await stream)
+            refused_status = await book(fleet, daemons[0], "key-1")
+            self.assertEqual(refused_status, 503)
+            pattern = '"path":"/bookings"'
+            self.assertEqual(await count_history(fleet, "plain-1", pattern), 0)
             platform.send_signal(signal.SIGCONT)
 
-            async def books():
+            async def booking_succeeds():
                 return await book(fleet, daemons[1], "key-2") < 300
 
             async with asyncio.timeout(MEMORY_FREED_TIMEOUT_S):
-                await wait_until(books)
-            self.assertEqual(await count_history(fleet, "plain-1", part), 1)
+                await wait_until(booking_succeeds)
+            self.assertEqual(await count_history(fleet, "plain-1", pattern), 1)
 
     async def test_dropped_engine_connections(self):
         async with open_fleet(daemons=1) as fleet:
@@ -224,7 +234,7 @@
             for name in ("engine-1", "engine-2"):
                 await drop_connections(fleet, name)
             for stream in streams:
-                self.check_whole(await stream)
+                self.check_complete_answer(await stream)
             status = await fleet.status("entry-0")
             self.assertEqual(status["violations"], {})
             await wait_memory_freed(fleet)
--- a/tests/proof/test_random_runs.py
+++ b/tests/proof/test_random_runs.py
@@ -1,4 +1,4 @@
-"""Randomised runs of a whole fleet in virtual time, from fixed seeds."""
+"""Randomised runs of a whole fleet in virtual time with fixed seeds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.assertGreater(report.outcomes.get("ok", 0), 0)
         return report
 
-    def test_seed_2_and_the_same_again(self):
+    def test_seed_2_is_reproducible(self):
         first, second = (self.check_seed(2, 40) for _ in range(2))
         self.assertEqual(first.actions, second.actions)
         self.assertEqual(first.outcomes, second.outcomes)
@@ -43,12 +43,12 @@
         suppress_health_check=list(HealthCheck),
     )
     @given(ACTIONS)
-    def test_lists_of_actions(self, actions):
+    def test_generated_actions(self, actions):
         self.assertEqual(run_actions(actions).problems, [])
 
 
 class ShrinkTest(unittest.TestCase):
-    def test_finds_the_items_that_matter(self):
+    def test_finds_the_failing_items(self):
         shortest = shrink(
             list(range(50)),
             fails=lambda items: {7, 33} <= set(items),
@@ -56,7 +56,7 @@
         )
         self.assertEqual(shortest, [7, 33])
 
-    def test_stops_when_time_is_up(self):
+    def test_stops_at_the_time_limit(self):
         items = list(range(50))
         shortest = shrink(
             items, fails=lambda _: True, has_time_left=lambda: False
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path through separate processes."""
+"""End-to-end tests with daemons and stand-ins in separate processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     open_process_fleet,
 )
 
-LIMIT_S = 60
+TEST_TIMEOUT_S = 60
 
 
 class EndToEndTest(unittest.IsolatedAsyncioTestCase):
@@ -35,8 +35,11 @@
         ) as response:
             return response.status, await response.text()
 
-    async def test_request_booking_and_stop(self):
-        async with asyncio.timeout(LIMIT_S), open_process_fleet() as fleet:
+    async def test_completion_booking_and_graceful_stop(self):
+        async with (
+            asyncio.timeout(TEST_TIMEOUT_S),
+            open_process_fleet() as fleet,
+        ):
             await fleet.start_standin("platform", "platform")
             await fleet.start_standin("engine-1", "engine", "--warm_after=1")
             await fleet.start_standin("engine-2", "engine", "--warm_after=1")
@@ -52,9 +55,9 @@
                 self.assertIn('"completion_tokens":8', answer)
                 self.assertTrue(answer.endswith("data: [DONE]\n\n"))
 
-            booked = await self.book(fleet, first.callers)
-            again = await self.book(fleet, second.callers)
-            self.assertEqual(booked, again)
+            first_response = await self.book(fleet, first.callers)
+            replayed_response = await self.book(fleet, second.callers)
+            self.assertEqual(first_response, replayed_response)
             async with fleet.session.get(
                 fleet.urls["plain-1"] + "/control/history"
             ) as response:
