--- a/src/auburnswitch/experiments/checker.py
+++ b/src/auburnswitch/experiments/checker.py
@@ -19,7 +19,7 @@
 DEADLINE_SLACK_S: Final = 1.0
 INTERNAL_ERROR_RESULT: Final = "internal"
 OVERLOAD_CAUSE: Final = "cold overload"
-COLD_DETECTION_DELAY_S: Final = 5.0  # from the last of the slow answers
+COLD_DETECTION_DELAY_S: Final = 5.0  # from the last slow answer required
 MIN_SLOW_ANSWERS: Final = 2  # enough to detect an unannounced cold engine
 EXECUTION_KINDS: Final = (HistoryKind.REQUEST_STARTED, HistoryKind.PLAIN_RUN)
 
--- a/src/auburnswitch/experiments/oracle.py
+++ b/src/auburnswitch/experiments/oracle.py
@@ -24,7 +24,7 @@
 
 
 class OraclePlacer(Placer):
-    """Chooses the engine with the least prefill ahead of the request.
+    """Chooses the engine whose true state predicts the earliest first token.
 
     Attributes:
         engines: Engine stand-ins by endpoint name.
--- a/src/auburnswitch/experiments/placement.py
+++ b/src/auburnswitch/experiments/placement.py
@@ -79,7 +79,7 @@
 
 def run_policy(options: RunOptions) -> RunSummary:
     """Runs one policy in virtual time and returns its summary."""
-    # imported here: needs a development dependency that daemons do not have
+    # imported here: a development dependency that daemons and tools lack
     from auburnswitch.experiments.virtual_time import run_virtual
 
     started_at = time.perf_counter()
@@ -116,7 +116,7 @@
 
 def fleet_options(policy: str) -> FleetOptions:
     """Returns the fleet options of the experiment for a policy."""
-    # imported here: needs a development dependency that daemons do not have
+    # imported here: a development dependency that daemons and tools lack
     from auburnswitch.experiments.virtual_time import SimulatedConnector
 
     def customize_settings(settings: Settings) -> None:
