--- a/tests/endpoints/test_unschedulable.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -152,7 +152,9 @@
             self.out_at = monotonic_s()
             await asyncio.sleep(5)
             harness.fleet.thaw_daemon(number)
-            harness.fleet.daemons[owner] = harness.fleet.running[owner].daemon
+            harness.fleet.daemons[owner] = harness.fleet.running_daemons[
+                owner
+            ].daemon
             for _ in range(9):
                 harness.send(owner)
 
--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -1,4 +1,4 @@
-"""Visits every state that a small model can get into."""
+"""Explicit-state model checker for small models."""
 
 from __future__ import annotations
 
@@ -12,38 +12,45 @@
 
 
 class InvariantViolationError(AssertionError):
-    """A state was found in which a rule does not hold."""
+    """A reachable state violates an invariant."""
 
 
 def explore_states(
-    first: State,
+    initial: State,
     next_states: Callable[[State], Iterable[State]],
     check: Callable[[State], None],
 ) -> int:
-    """Visits all states, breadth first; returns their number.
+    """Visits all reachable states breadth first and returns their number.
+
+    Args:
+        initial: Initial state.
+        next_states: Returns the successors of a state.
+        check: Raises InvariantViolationError for a state that violates an
+            invariant.
 
     Raises:
-        InvariantViolationError: The check failed, with the way to the state.
+        InvariantViolationError: The check failed; the message has the path
+            from the failing state back to the initial one.
     """
-    came_from: dict[State, State | None] = {first: None}
-    queue = collections.deque([first])
+    predecessors: dict[State, State | None] = {initial: None}
+    queue = collections.deque([initial])
     while queue:
         state = queue.popleft()
         try:
             check(state)
         except InvariantViolationError as error:
             raise InvariantViolationError(
-                f"{error}: {_way(came_from, state)}"
+                f"{error}: {_path_to(predecessors, state)}"
             ) from None
-        for after in next_states(state):
-            if after not in came_from:
-                came_from[after] = state
-                queue.append(after)
-    return len(came_from)
-
-
-def _way(came_from: dict[State, State | None], state: State) -> str:
-    steps = [state]
-    while (state := came_from[state]) is not None:
-        steps.append(state)
-    return " <- ".join(str(step) for step in steps)
+        for next_state in next_states(state):
+            if next_state not in predecessors:
+                predecessors[next_state] = state
+                queue.append(next_state)
+    return len(predecessors)
+
+
+def _path_to(predecessors: dict[State, State | None], state: State) -> str:
+    path = [state]
+    while (state := predecessors[state]) is not None:
+        path.append(state)
+    return " <- ".join(str(state_on_path) for state_on_path in path)
