--- a/src/auburnswitch/configuration/installation.py
+++ b/src/auburnswitch/configuration/installation.py
@@ -84,7 +84,7 @@
         return rng.choices(shares, weights)[0].service_name
 
 
-class KnownEndpoint:
+class TrackedEndpoint:
     """An endpoint with its newest entry and the times derived from it.
 
     Attributes:
@@ -145,9 +145,9 @@
 
     def __init__(self) -> None:
         self.table: RouteTable | None = None
-        self.endpoints: dict[str, KnownEndpoint] = {}
+        self.endpoints: dict[str, TrackedEndpoint] = {}
         self.endpoints_revision = 0
-        self._by_service: dict[str, list[KnownEndpoint]] = {}
+        self._by_service: dict[str, list[TrackedEndpoint]] = {}
         self._grouped_revision = 0
         self.closed_zones: frozenset[str] = frozenset()
         self.closed_zones_revision = 0
@@ -244,7 +244,7 @@
                 entries.append(endpoint.entry)
         return EndpointList(revision=self.endpoints_revision, endpoints=entries)
 
-    def endpoints_of(self, service: str) -> list[KnownEndpoint]:
+    def endpoints_of(self, service: str) -> list[TrackedEndpoint]:
         """Returns all endpoints of a service, open or not."""
         if self._grouped_revision != self.endpoints_revision:
             self._grouped_revision = self.endpoints_revision
@@ -254,7 +254,7 @@
                 self._by_service.setdefault(name, []).append(endpoint)
         return self._by_service.get(service, [])
 
-    def is_open(self, endpoint: KnownEndpoint) -> bool:
+    def is_open(self, endpoint: TrackedEndpoint) -> bool:
         """Returns whether an endpoint may get new requests now."""
         if self.endpoints.get(endpoint.entry.id) is not endpoint:
             return False
@@ -268,7 +268,7 @@
     def _adopt_first(self, endpoint_list: EndpointList, source: str) -> None:
         """Adopts the first list with a single log line for all endpoints."""
         for entry in endpoint_list.endpoints:
-            self.endpoints[entry.id] = KnownEndpoint(entry=entry)
+            self.endpoints[entry.id] = TrackedEndpoint(entry=entry)
         log_event(
             EventId.ENDPOINTS_ADOPTED,
             endpoints=len(endpoint_list.endpoints),
@@ -279,7 +279,7 @@
     def _adopt_entry(self, entry: EndpointEntry, source: str) -> None:
         endpoint = self.endpoints.get(entry.id)
         if endpoint is None:
-            self.endpoints[entry.id] = KnownEndpoint(entry=entry)
+            self.endpoints[entry.id] = TrackedEndpoint(entry=entry)
             self._log_endpoint(entry, "added", source)
             return
         if endpoint.entry.ready != entry.ready:
@@ -324,4 +324,4 @@
             listener(changes)
 
 
-__all__ = ["STORE_SOURCE", "Installation", "KnownEndpoint", "RouteTable"]
+__all__ = ["STORE_SOURCE", "Installation", "TrackedEndpoint", "RouteTable"]
--- a/src/auburnswitch/daemon/daemon.py
+++ b/src/auburnswitch/daemon/daemon.py
@@ -257,7 +257,7 @@
         )
         self.membership.heartbeat_fillers.append(limits.fill_heartbeat)
         self.membership.heartbeat_listeners.append(limits.on_heartbeat)
-        self.endpoint_manager.is_struck = self.strike_registry.is_struck
+        self.endpoint_manager.has_strikes = self.strike_registry.has_strikes
         self.membership.heartbeat_fillers.append(
             self.strike_registry.fill_heartbeat
         )
--- a/src/auburnswitch/endpoints/admission_controller.py
+++ b/src/auburnswitch/endpoints/admission_controller.py
@@ -18,8 +18,8 @@
     from collections.abc import Callable, Mapping
 
     from auburnswitch.endpoints.cold_endpoint_gate import ColdEndpointGate
+    from auburnswitch.endpoints.endpoint_leases import EndpointLeases
     from auburnswitch.endpoints.ledger import EndpointLedger
-    from auburnswitch.endpoints.rights import EndpointLeases
     from auburnswitch.endpoints.unschedulable import UnschedulableEndpoints
     from auburnswitch.members.member_view import MemberView
     from auburnswitch.observe.invariants import Invariants
@@ -38,7 +38,7 @@
         view: The members, including this daemon.
         owns: Returns whether this daemon owns an endpoint.
         is_unschedulable: Returns whether an endpoint receives no new work.
-        is_struck: Returns whether a request with this fingerprint was in
+        has_strikes: Returns whether a request with this fingerprint was in
             flight at a crash.
         unschedulable: Endpoints that receive no new work, with the reason.
         cold_gate: Decides whether cold endpoints may be used.
@@ -49,8 +49,8 @@
 
     __slots__ = (
         "cold_gate",
+        "has_strikes",
         "invariants",
-        "is_struck",
         "is_unschedulable",
         "leases",
         "ledgers",
@@ -69,7 +69,7 @@
         view: MemberView,
         owns: Callable[[str], bool],
         is_unschedulable: Callable[[str], bool],
-        is_struck: Callable[[str], bool],
+        has_strikes: Callable[[str], bool],
         unschedulable: UnschedulableEndpoints,
         cold_gate: ColdEndpointGate,
         leases: EndpointLeases,
@@ -80,7 +80,7 @@
         self.view = view
         self.owns = owns
         self.is_unschedulable = is_unschedulable
-        self.is_struck = is_struck
+        self.has_strikes = has_strikes
         self.unschedulable = unschedulable
         self.cold_gate = cold_gate
         self.leases = leases
@@ -100,7 +100,7 @@
             return None
         if not has_capacity(ledger, request, self.routing):
             return None
-        if self._conflicts_with_struck(ledger, request):
+        if self._has_strike_conflict(ledger, request):
             return None
         self.next_id += 1
         reservation_id = f"{self.view.local_member.id}/{self.next_id}"
@@ -113,14 +113,14 @@
             reservation_id=reservation_id, boot_id=ledger.boot_id
         )
 
-    def _conflicts_with_struck(
+    def _has_strike_conflict(
         self, ledger: EndpointLedger, request: ReserveRequest
     ) -> bool:
-        """Returns whether a struck request would run beside another one."""
-        if not request.struck and not self.is_struck(request.fingerprint):
+        """Returns whether two requests with strikes would run together."""
+        if not request.struck and not self.has_strikes(request.fingerprint):
             return False
         granted = ledger.reservations.values()
-        return any(self.is_struck(r.fingerprint) for r in granted)
+        return any(self.has_strikes(r.fingerprint) for r in granted)
 
     def refusal(
         self, ledger: EndpointLedger, request: ReserveRequest
--- a/src/auburnswitch/endpoints/cold_endpoint_gate.py
+++ b/src/auburnswitch/endpoints/cold_endpoint_gate.py
@@ -8,8 +8,8 @@
 from auburnswitch.schema.peers import EndpointPhase
 
 if TYPE_CHECKING:
+    from auburnswitch.endpoints.endpoint_leases import EndpointLeases
     from auburnswitch.endpoints.ledger import EndpointLedger
-    from auburnswitch.endpoints.rights import EndpointLeases
 
 
 class ColdEndpointGate:
--- a/src/auburnswitch/endpoints/endpoint_manager.py
+++ b/src/auburnswitch/endpoints/endpoint_manager.py
@@ -38,8 +38,8 @@
     from collections.abc import Callable
 
     from auburnswitch.configuration.state import ConfigState
+    from auburnswitch.endpoints.endpoint_leases import EndpointLeases
     from auburnswitch.endpoints.load_report import LoadReport
-    from auburnswitch.endpoints.rights import EndpointLeases
     from auburnswitch.members.member_view import MemberView
     from auburnswitch.observe.invariants import Invariants
     from auburnswitch.schema.settings import Settings
@@ -53,7 +53,7 @@
     """Manages the ledgers and queues of the endpoints this daemon owns.
 
     Attributes:
-        is_struck: Returns whether a request with this fingerprint was in
+        has_strikes: Returns whether a request with this fingerprint was in
             flight at a crash.
         leases: Ownership leases of this daemon.
         cold_gate: Decides whether cold endpoints may be used.
@@ -71,10 +71,10 @@
     __slots__ = (
         "admission_controller",
         "cold_gate",
+        "has_strikes",
         "hint_batch",
         "hints",
         "invariants",
-        "is_struck",
         "leases",
         "ledgers",
         "owners",
@@ -108,14 +108,14 @@
         self.ledgers: dict[str, EndpointLedger] = {}
         self.queues: dict[str, ReservationQueue] = {}
         self.hint_batch: tuple[float, list[EndpointHint]] = (_NEVER, [])
-        self.is_struck: Callable[[str], bool] = lambda _: False
+        self.has_strikes: Callable[[str], bool] = lambda _: False
         self.admission_controller = AdmissionController(
             ledgers=self.ledgers,
             routing=settings.routing,
             view=view,
             owns=self.owns,
             is_unschedulable=self.is_unschedulable,
-            is_struck=lambda fingerprint: self.is_struck(fingerprint),
+            has_strikes=lambda fingerprint: self.has_strikes(fingerprint),
             unschedulable=self.unschedulable,
             cold_gate=self.cold_gate,
             leases=leases,
--- a/src/auburnswitch/entry/entry_daemon.py
+++ b/src/auburnswitch/entry/entry_daemon.py
@@ -136,7 +136,7 @@
         )
         endpoint_client = PlatformEndpointClient()
         self.memory_reservations = MemoryReservations(
-            calls=endpoint_client,
+            endpoint_client=endpoint_client,
             prefix=f"{record.instance}-{self.gossip.incarnation}",
         )
         self.crash_registry = CrashRegistry()
@@ -145,7 +145,7 @@
             statistics=self.statistics,
             crash_registry=self.crash_registry,
             selector=self.endpoint_selector,
-            calls=endpoint_client,
+            endpoint_client=endpoint_client,
             memory=self.memory_reservations,
             budget=WindowedRetryBudget(
                 bounds=settings.bounds, count_daemons=self._count_daemons
@@ -154,7 +154,7 @@
         self.load_observer = LoadObserver(
             installation=self.installation,
             load=self.fleet_load,
-            calls=endpoint_client,
+            endpoint_client=endpoint_client,
             instance=record.instance,
             live_instances=lambda: [
                 peer.record.instance for peer in self.gossip.live_peers()
--- a/src/auburnswitch/members/cells.py
+++ b/src/auburnswitch/members/cells.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from auburnswitch.configuration.installation import (
         Installation,
-        KnownEndpoint,
+        TrackedEndpoint,
     )
 
 ENDPOINTS_PER_CELL: Final = 64
@@ -51,7 +51,7 @@
         self._sizes: collections.Counter[str] = collections.Counter()
         self._ring = HashRing(members=["0"])
         self._local_cell = "0"
-        self._local_endpoints: dict[str, list[KnownEndpoint]] = {}
+        self._local_endpoints: dict[str, list[TrackedEndpoint]] = {}
 
     @property
     def count(self) -> int:
@@ -73,7 +73,7 @@
         """Returns whether an endpoint is in this daemon's cell."""
         return self.count == 1 or self._ring.owner(endpoint) == self._local_cell
 
-    def cell_endpoints(self, service: str) -> list[KnownEndpoint]:
+    def cell_endpoints(self, service: str) -> list[TrackedEndpoint]:
         """Returns the local cell's endpoints of a service in several cells."""
         self._refresh()
         return self._local_endpoints.get(service, [])
--- a/src/auburnswitch/platform/endpoint_client.py
+++ b/src/auburnswitch/platform/endpoint_client.py
@@ -113,7 +113,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class LoadReport:
+class EngineLoadReport:
     """Load that an engine reports, some hundred milliseconds late.
 
     Attributes:
@@ -191,12 +191,14 @@
         """Releases a reservation."""
         return await self._send_order(endpoint, {"Op": "release", "Id": key})
 
-    async def fetch_load(self, endpoint: EndpointEntry) -> LoadReport | None:
+    async def fetch_load(
+        self, endpoint: EndpointEntry
+    ) -> EngineLoadReport | None:
         """Fetches an engine's load; returns None without a usable response."""
         try:
             reply = await _call(endpoint, "GET", protocol.REPORT_PATH)
             data = json.loads(reply.body)
-            return LoadReport(
+            return EngineLoadReport(
                 requests=fields.integer(data, "Running", 0)
                 + fields.integer(data, "Waiting", 0),
                 memory_tokens=fields.integer(data, "KvUsed", 0),
@@ -268,7 +270,7 @@
     "ResponseHead",
     "BrokenResponse",
     "PlatformEndpointClient",
-    "LoadReport",
+    "EngineLoadReport",
     "RequestNotExecuted",
     "RequestNotSent",
 ]
--- a/src/auburnswitch/routing/attempt.py
+++ b/src/auburnswitch/routing/attempt.py
@@ -70,7 +70,9 @@
         self.progress = progress
 
     async def run(
-        self, helpers: list[PrefillHelper], calls: PlatformEndpointClient
+        self,
+        helpers: list[PrefillHelper],
+        endpoint_client: PlatformEndpointClient,
     ) -> Delivered | AttemptFailed:
         """Sends the request and relays the answer."""
         job, placement = self.job, self.placement
@@ -89,7 +91,7 @@
         try:
             async with (
                 asyncio.timeout(timeouts.start_timeout_s()) as timer,
-                calls.send(
+                endpoint_client.send(
                     job.request,
                     endpoint=placement.endpoint.entry,
                     headers=headers,
--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -45,8 +45,8 @@
 
     __slots__ = (
         "budget",
-        "calls",
         "crash_registry",
+        "endpoint_client",
         "memory",
         "selector",
         "statistics",
@@ -56,7 +56,7 @@
         self,
         *,
         selector: EndpointSelector,
-        calls: PlatformEndpointClient,
+        endpoint_client: PlatformEndpointClient,
         budget: WindowedRetryBudget,
         memory: MemoryReservations,
         crash_registry: CrashRegistry,
@@ -66,7 +66,7 @@
         self.crash_registry = crash_registry
         self.memory = memory
         self.selector = selector
-        self.calls = calls
+        self.endpoint_client = endpoint_client
         self.budget = budget
 
     async def deliver(
@@ -191,7 +191,7 @@
                     writer=writer,
                     progress=progress,
                 )
-                outcome = await attempt.run(helpers, self.calls)
+                outcome = await attempt.run(helpers, self.endpoint_client)
         finally:
             self.selector.end(placement)
         if isinstance(outcome, AttemptFailed) and outcome.connection_broken:
--- a/src/auburnswitch/routing/endpoint_selector.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -26,7 +26,7 @@
 
     from auburnswitch.configuration.installation import (
         Installation,
-        KnownEndpoint,
+        TrackedEndpoint,
     )
     from auburnswitch.members.cells import Cells
     from auburnswitch.routing.delivery_job import DeliveryJob
@@ -56,14 +56,14 @@
         delays_others: Whether the request would make other answers late.
     """
 
-    endpoint: KnownEndpoint
-    helpers: list[KnownEndpoint]
+    endpoint: TrackedEndpoint
+    helpers: list[TrackedEndpoint]
     item: WorkItem
     first_token_s: float
     late: bool = False
     delays_others: bool = False
 
-    def holders(self) -> list[KnownEndpoint]:
+    def holders(self) -> list[TrackedEndpoint]:
         """Returns the helpers that hold a part of the prompt's KV cache."""
         return self.helpers[: self.item.holders]
 
@@ -173,7 +173,7 @@
         return self._choose_from(job, sample) or placement
 
     def _choose_from(
-        self, job: DeliveryJob, candidates: Iterable[KnownEndpoint]
+        self, job: DeliveryJob, candidates: Iterable[TrackedEndpoint]
     ) -> Placement | None:
         usable = [
             endpoint
@@ -234,9 +234,9 @@
         return None
 
     def _choose_plain(
-        self, candidates: list[KnownEndpoint]
+        self, candidates: list[TrackedEndpoint]
     ) -> Placement | None:
-        def rank(endpoint: KnownEndpoint) -> tuple[float, bool, float]:
+        def rank(endpoint: TrackedEndpoint) -> tuple[float, bool, float]:
             pending = len(
                 self.load.by_endpoint[endpoint.entry.id].work_by_request
             )
@@ -257,7 +257,7 @@
         self,
         job: DeliveryJob,
         model: EngineModel,
-        candidates: list[KnownEndpoint],
+        candidates: list[TrackedEndpoint],
     ) -> Placement | None:
         now = monotonic_s()
         shuffled = self.rng.sample(candidates, len(candidates))
--- a/src/auburnswitch/routing/engine_candidate.py
+++ b/src/auburnswitch/routing/engine_candidate.py
@@ -10,7 +10,7 @@
 from auburnswitch.routing import engine_latency
 
 if TYPE_CHECKING:
-    from auburnswitch.configuration.installation import KnownEndpoint
+    from auburnswitch.configuration.installation import TrackedEndpoint
     from auburnswitch.routing.fleet_load import EndpointLoad, EndpointWork
     from auburnswitch.schema.installation import EngineModel
 
@@ -23,10 +23,14 @@
 
 
 class DelayablePrefills(enum.Enum):
-    """Existing joint prefills that a new one may delay."""
+    """Existing joint prefills that a new one may delay.
 
-    NONE = "none that it would make late or that is late"
-    LATE = "those that are late anyway"
+    NONE: none that it would make late, and none that is late. LATE: only those
+    that are late in any case.
+    """
+
+    NONE = "none"
+    LATE = "late"
     ANY = "any"
 
 
@@ -90,7 +94,7 @@
     def __init__(
         self,
         *,
-        endpoint: KnownEndpoint,
+        endpoint: TrackedEndpoint,
         load: EndpointLoad,
         model: EngineModel,
         prompt: PromptRequirements,
--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -162,7 +162,7 @@
             answer_tokens=request.answer_tokens if last else 0,
             length_class=request.length_class,
             fingerprint=request.fingerprint,
-            struck=self.placer.strikes.is_struck(request.fingerprint),
+            struck=self.placer.strikes.has_strikes(request.fingerprint),
             time_left_s=time_left_s,
             max_wait_s=max(0.0, min(MAX_GROUP_WAIT_S, time_left_s)),
             service=request.service,
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -20,7 +20,7 @@
 
     from auburnswitch.configuration.installation import (
         Installation,
-        KnownEndpoint,
+        TrackedEndpoint,
     )
     from auburnswitch.platform.endpoint_client import PlatformEndpointClient
     from auburnswitch.routing.fleet_load import FleetLoad
@@ -43,7 +43,7 @@
     Attributes:
         installation: The endpoints and services.
         load: Work of all daemons on each endpoint.
-        calls: Client for calls to endpoints.
+        endpoint_client: Client for calls to endpoints.
         instance: This daemon's instance.
         live_instances: Returns the instances of the live peers.
         publish: Publishes reports to peers.
@@ -54,7 +54,7 @@
         "_assignment_key",
         "_next_at",
         "_started_at",
-        "calls",
+        "endpoint_client",
         "installation",
         "instance",
         "live_instances",
@@ -67,20 +67,20 @@
         *,
         installation: Installation,
         load: FleetLoad,
-        calls: PlatformEndpointClient,
+        endpoint_client: PlatformEndpointClient,
         instance: str,
         live_instances: Callable[[], Iterable[str]],
         publish: Callable[[list[EngineReport]], None],
     ) -> None:
         self.installation = installation
         self.load = load
-        self.calls = calls
+        self.endpoint_client = endpoint_client
         self.instance = instance
         self.live_instances = live_instances
         self.publish = publish
         self._started_at = monotonic_s()
         self._next_at: dict[str, float] = {}
-        self._assigned: list[KnownEndpoint] = []
+        self._assigned: list[TrackedEndpoint] = []
         self._assignment_key: tuple[frozenset[str], int] = (frozenset(), -1)
 
     async def run(self) -> None:
@@ -99,7 +99,7 @@
         """Applies a report published by a peer."""
         self.load.by_endpoint[report.endpoint].apply_report(report)
 
-    def _due_engines(self) -> list[KnownEndpoint]:
+    def _due_engines(self) -> list[TrackedEndpoint]:
         """Returns the assigned engines that are due for a poll."""
         self._refresh_assignment()
         now = monotonic_s()
@@ -130,7 +130,7 @@
             and ring.owner(endpoint.entry.id) == self.instance
         ]
 
-    async def _observe(self, endpoint: KnownEndpoint) -> EngineReport | None:
+    async def _observe(self, endpoint: TrackedEndpoint) -> EngineReport | None:
         """Polls one engine.
 
         Returns:
@@ -138,7 +138,7 @@
         """
         now = monotonic_s()
         load = self.load.by_endpoint[endpoint.entry.id]
-        load_report = await self.calls.fetch_load(endpoint.entry)
+        load_report = await self.endpoint_client.fetch_load(endpoint.entry)
         if load_report is None:
             self._next_at[endpoint.entry.id] = now + OBSERVE_INTERVAL_S
             return None
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -40,15 +40,17 @@
     """Makes, renews and releases reservations, all or none for a prompt.
 
     Attributes:
-        calls: Client for calls to endpoints.
+        endpoint_client: Client for calls to endpoints.
         prefix: Prefix of all reservation keys, unique to this process.
         release_tasks: Running tasks that release reservations.
     """
 
-    __slots__ = ("_number", "calls", "prefix", "release_tasks")
+    __slots__ = ("_number", "endpoint_client", "prefix", "release_tasks")
 
-    def __init__(self, *, calls: PlatformEndpointClient, prefix: str) -> None:
-        self.calls = calls
+    def __init__(
+        self, *, endpoint_client: PlatformEndpointClient, prefix: str
+    ) -> None:
+        self.endpoint_client = endpoint_client
         self.prefix = prefix
         self.release_tasks: set[asyncio.Task[None]] = set()
         self._number = 0
@@ -106,7 +108,7 @@
         """Returns the ids of the engines that did not grant a reservation."""
         grants = await asyncio.gather(
             *(
-                self.calls.reserve(
+                self.endpoint_client.reserve(
                     e, key=key, tokens=tokens, lease_ms=RESERVATION_LEASE_MS
                 )
                 for e in endpoints
@@ -132,7 +134,7 @@
 
     async def _release(self, endpoint: EndpointEntry, key: str) -> None:
         for _ in range(MAX_RELEASE_ATTEMPTS):
-            if await self.calls.release(endpoint, key=key):
+            if await self.endpoint_client.release(endpoint, key=key):
                 return
             await asyncio.sleep(RELEASE_RETRY_DELAY_S)
         log_event(EventId.MEMORY_NOT_RELEASED, key=key, endpoint=endpoint.id)
--- a/src/auburnswitch/routing/placer.py
+++ b/src/auburnswitch/routing/placer.py
@@ -222,7 +222,7 @@
 
         The result is in seconds; 0.0 means that the wait is not limited.
         """
-        if len(names) < 2 or self.strikes.is_struck(request.fingerprint):
+        if len(names) < 2 or self.strikes.has_strikes(request.fingerprint):
             return 0.0
         return self._predicted_wait_s(request, names[1]) + WAIT_SLACK_S
 
@@ -267,7 +267,7 @@
             for name in self._schedulable_endpoints(request, excluded)
             if not self._exceeds_cold_limit(request, name)
         ]
-        if self.strikes.is_struck(request.fingerprint):
+        if self.strikes.has_strikes(request.fingerprint):
             return self._rendezvous_order(request, names)
         self.rng.shuffle(names)
         return sorted(
@@ -333,7 +333,7 @@
                 answer_tokens=request.answer_tokens,
                 length_class=request.length_class,
                 fingerprint=request.fingerprint,
-                struck=self.strikes.is_struck(request.fingerprint),
+                struck=self.strikes.has_strikes(request.fingerprint),
                 time_left_s=time_left_s,
                 max_wait_s=max(0.0, min(MAX_OWNER_WAIT_S, time_left_s)),
                 max_start_wait_s=limit_s,
--- a/src/auburnswitch/routing/prefill_planner.py
+++ b/src/auburnswitch/routing/prefill_planner.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from auburnswitch.configuration.installation import KnownEndpoint
+    from auburnswitch.configuration.installation import TrackedEndpoint
     from auburnswitch.routing.fleet_load import EndpointLoad
     from auburnswitch.schema.installation import EngineModel
 
@@ -72,8 +72,8 @@
         interference_cost: Cost of the other answers that the plan delays.
     """
 
-    decode_engine: KnownEndpoint
-    helpers: list[KnownEndpoint]
+    decode_engine: TrackedEndpoint
+    helpers: list[TrackedEndpoint]
     part_ms: float
     first_token_ms: float
     memory_tokens: int
@@ -84,7 +84,7 @@
 def plan_prefill(
     model: EngineModel,
     prompt: PromptRequirements,
-    candidates: Iterable[tuple[KnownEndpoint, EndpointLoad]],
+    candidates: Iterable[tuple[TrackedEndpoint, EndpointLoad]],
     now: float,
     tie_break: str = "",
 ) -> PrefillPlan | None:
--- a/src/auburnswitch/routing/strike_registry.py
+++ b/src/auburnswitch/routing/strike_registry.py
@@ -33,18 +33,18 @@
 
     Attributes:
         retention_s: Time that a strike is kept, in seconds.
-        struck_at: Loop time of each strike in seconds, by crash, by
+        strike_times: Loop time of each strike in seconds, by crash, by
             fingerprint.
         cleared: Crashes whose strikes no longer count, by fingerprint.
         announced_at: Loop time at which each strike was first announced to
             each peer, in seconds.
     """
 
-    __slots__ = ("announced_at", "cleared", "retention_s", "struck_at")
+    __slots__ = ("announced_at", "cleared", "retention_s", "strike_times")
 
     def __init__(self, *, retention_s: float) -> None:
         self.retention_s = retention_s
-        self.struck_at: dict[str, dict[CrashId, float]] = {}
+        self.strike_times: dict[str, dict[CrashId, float]] = {}
         self.cleared: dict[str, set[CrashId]] = {}
         self.announced_at: dict[str, dict[StrikeNotice, float]] = {}
 
@@ -52,13 +52,13 @@
         self, fingerprint: str, endpoint: str, boot_id: str, age_s: float = 0.0
     ) -> bool:
         """Adds a strike and returns whether it is new."""
-        crashes = self.struck_at.setdefault(fingerprint, {})
+        crashes = self.strike_times.setdefault(fingerprint, {})
         if (endpoint, boot_id) in crashes or age_s > self.retention_s:
             return False
         crashes[endpoint, boot_id] = monotonic_s() - age_s
-        if len(self.struck_at) > MAX_FINGERPRINTS:
-            oldest = next(iter(self.struck_at))
-            del self.struck_at[oldest]
+        if len(self.strike_times) > MAX_FINGERPRINTS:
+            oldest = next(iter(self.strike_times))
+            del self.strike_times[oldest]
             self.cleared.pop(oldest, None)
         log_event(
             EventId.CRASH_STRIKE,
@@ -70,28 +70,28 @@
 
     def clear(self, fingerprint: str) -> None:
         """Clears the strikes of a request that has completed."""
-        if crashes := self.struck_at.get(fingerprint):
+        if crashes := self.strike_times.get(fingerprint):
             self.cleared.setdefault(fingerprint, set()).update(crashes)
 
     def count(self, fingerprint: str) -> int:
         """Returns the number of strikes of a request that still count."""
         self._expire(fingerprint)
-        crashes = self.struck_at.get(fingerprint, {})
+        crashes = self.strike_times.get(fingerprint, {})
         cleared = self.cleared.get(fingerprint, set())
         return len(crashes.keys() - cleared)
 
     def _expire(self, fingerprint: str) -> None:
-        crashes = self.struck_at.get(fingerprint)
+        crashes = self.strike_times.get(fingerprint)
         if not crashes:
             return
         oldest = monotonic_s() - self.retention_s
         for crash in [c for c, at in crashes.items() if at < oldest]:
             del crashes[crash]
         if not crashes:
-            del self.struck_at[fingerprint]
+            del self.strike_times[fingerprint]
             self.cleared.pop(fingerprint, None)
 
-    def is_struck(self, fingerprint: str) -> bool:
+    def has_strikes(self, fingerprint: str) -> bool:
         """Returns whether a request has a strike that counts."""
         return self.count(fingerprint) > 0
 
@@ -103,11 +103,11 @@
         """Adds the strikes that are still to be announced to a peer."""
         now = monotonic_s()
         announced = self.announced_at.setdefault(peer_id, {})
-        for fingerprint in list(self.struck_at):
+        for fingerprint in list(self.strike_times):
             self._expire(fingerprint)
         current_notices = {
             (fingerprint, crash, crash in self.cleared.get(fingerprint, ()))
-            for fingerprint, crashes in self.struck_at.items()
+            for fingerprint, crashes in self.strike_times.items()
             for crash in crashes
         }
         for notice in announced.keys() - current_notices:
@@ -128,7 +128,7 @@
                 max(0.0, strike.age_s),
             )
             crash = (strike.endpoint, strike.boot_id)
-            recorded = self.struck_at.get(strike.fingerprint, {})
+            recorded = self.strike_times.get(strike.fingerprint, {})
             if strike.cleared and crash in recorded:
                 self.cleared.setdefault(strike.fingerprint, set()).add(crash)
 
@@ -140,7 +140,7 @@
             fingerprint=fingerprint,
             endpoint=endpoint,
             boot_id=boot_id,
-            age_s=monotonic_s() - self.struck_at[fingerprint][crash],
+            age_s=monotonic_s() - self.strike_times[fingerprint][crash],
             cleared=cleared,
         )
 
--- a/tests/routing/test_crash_detector.py
+++ b/tests/routing/test_crash_detector.py
@@ -175,12 +175,12 @@
                 heartbeat = Heartbeat()
                 first.fill_heartbeat(heartbeat, "peer")
                 second.on_heartbeat(heartbeat)
-                struck = (first.is_struck("f"), second.is_struck("f"))
-                self.assertEqual(struck, (not cleared, not cleared))
+                has_strikes = (first.has_strikes("f"), second.has_strikes("f"))
+                self.assertEqual(has_strikes, (not cleared, not cleared))
             second.add("f", "engine-0", "boot-1")  # reported again
-            self.assertFalse(second.is_struck("f"))
+            self.assertFalse(second.has_strikes("f"))
             second.add("f", "engine-0", "boot-2")
-            self.assertTrue(second.is_struck("f"))
+            self.assertTrue(second.has_strikes("f"))
             await asyncio.sleep(61)
             return [registry.count("f") for registry in (first, second)]
 
--- a/tests/routing/test_load_observer.py
+++ b/tests/routing/test_load_observer.py
@@ -6,7 +6,7 @@
 import unittest
 
 from auburnswitch.configuration.installation import Installation
-from auburnswitch.platform.endpoint_client import LoadReport
+from auburnswitch.platform.endpoint_client import EngineLoadReport
 from auburnswitch.routing.fleet_load import FleetLoad
 from auburnswitch.routing.load_observer import (
     MAX_CONCURRENT_REPORTS,
@@ -38,7 +38,7 @@
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await asyncio.sleep(0.002)
         self.in_flight -= 1
-        return LoadReport(requests=0, memory_tokens=0, slowdown=1.0)
+        return EngineLoadReport(requests=0, memory_tokens=0, slowdown=1.0)
 
 
 def make_installation() -> Installation:
@@ -64,7 +64,7 @@
             observer = LoadObserver(
                 installation=make_installation(),
                 load=FleetLoad(),
-                calls=calls,
+                endpoint_client=calls,
                 instance=name,
                 live_instances=lambda: peers,
                 publish=lambda reports: None,
--- a/tests/routing/test_placement_wait.py
+++ b/tests/routing/test_placement_wait.py
@@ -6,7 +6,7 @@
 import unittest
 
 from auburnswitch.clock import monotonic_s
-from auburnswitch.configuration.installation import KnownEndpoint
+from auburnswitch.configuration.installation import TrackedEndpoint
 from auburnswitch.members.cells import Cells
 from auburnswitch.platform.requests import decode_request
 from auburnswitch.routing.delivery_job import DeliveryJob
@@ -28,7 +28,7 @@
     def __init__(self, count: int) -> None:
         self.endpoints_revision = 1
         self.endpoint_list = [
-            KnownEndpoint(
+            TrackedEndpoint(
                 entry=EndpointEntry(
                     id=f"engine-{n}", service_name="engines", slots=8
                 )
--- a/tests/routing/test_prefill_planner.py
+++ b/tests/routing/test_prefill_planner.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from auburnswitch.configuration.installation import KnownEndpoint
+from auburnswitch.configuration.installation import TrackedEndpoint
 from auburnswitch.routing import engine_latency
 from auburnswitch.routing.engine_candidate import PromptRequirements
 from auburnswitch.routing.fleet_load import FleetLoad
@@ -42,7 +42,7 @@
     def __init__(self, engines: int) -> None:
         self.load = FleetLoad()
         self.engines = [
-            KnownEndpoint(entry=EndpointEntry(id=f"engine-{n}", slots=8))
+            TrackedEndpoint(entry=EndpointEntry(id=f"engine-{n}", slots=8))
             for n in range(engines)
         ]
         self.placed = 0
@@ -261,7 +261,7 @@
 
 
 def _place_least_pending(pool: EnginePool, prompt: PromptRequirements) -> float:
-    def pending(engine: KnownEndpoint) -> int:
+    def pending(engine: TrackedEndpoint) -> int:
         return len(pool.load.by_endpoint[engine.entry.id].work_by_request)
 
     engine = min(pool.engines, key=pending)
