--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application for callers."""
+"""ASGI application of the daemon for callers."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/claims/__init__.py
+++ b/src/auburnswitch/claims/__init__.py
@@ -1,3 +1,3 @@
-"""Claims on idempotency keys of requests that may run only once."""
+"""Claims of idempotency keys, so that a request runs at most once."""
 
 from __future__ import annotations
--- a/src/auburnswitch/configuration/__init__.py
+++ b/src/auburnswitch/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""Configuration by operators and the version in force."""
+"""Accepts operators' configuration changes and provides the result."""
 
 from __future__ import annotations
--- a/src/auburnswitch/configuration/state.py
+++ b/src/auburnswitch/configuration/state.py
@@ -1,4 +1,4 @@
-"""The configuration in force: the join of all accepted tickets."""
+"""Computes the configuration in force by joining all accepted tickets."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/endpoints/endpoint_leases.py
+++ b/src/auburnswitch/endpoints/endpoint_leases.py
@@ -1,4 +1,4 @@
-"""Defines the ownership lease interface that endpoints/ depends on."""
+"""Interface of the ownership leases, as the endpoints package uses them."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/endpoints/handover.py
+++ b/src/auburnswitch/endpoints/handover.py
@@ -10,7 +10,7 @@
 
 
 class Handover:
-    """Fills and applies hand-over requests.
+    """Fills and applies handover requests.
 
     Attributes:
         endpoint_manager: Ledgers of the owned endpoints.
--- a/src/auburnswitch/endpoints/ledger.py
+++ b/src/auburnswitch/endpoints/ledger.py
@@ -46,7 +46,7 @@
             covers, by resource.
         load: Newest load report that this owner has read.
         load_failures: Consecutive load reports that could not be read.
-        recovery_started_at: Loop time of the take-over, or of the end of this
+        recovery_started_at: Loop time of the takeover, or of the end of this
             daemon's last pause, in seconds.
         work_listed_at: Loop time of the request for the newest list of the
             endpoint's work, in seconds.
--- a/src/auburnswitch/endpoints/load_monitor.py
+++ b/src/auburnswitch/endpoints/load_monitor.py
@@ -22,7 +22,7 @@
 
 
 class LoadMonitor:
-    """Polls the load of each owned endpoint in a task of its own.
+    """Polls the load of each owned endpoint in a separate task.
 
     Attributes:
         endpoint_manager: Receives the load reports.
--- a/src/auburnswitch/endpoints/orphans.py
+++ b/src/auburnswitch/endpoints/orphans.py
@@ -193,17 +193,17 @@
             )
         status = view.peers.get(key.member_id)
         oldest = monotonic_s() - view.settings.suspect_after_s
-        heard_recently = (
+        has_recent_message = (
             status is not None and status.last_received_at >= oldest
         )
-        if heard_recently:
-            return await self._is_disclaimed(ledger, key)
+        if has_recent_message:
+            return await self._is_unclaimed_by_sender(ledger, key)
         if key.member_id in view.roster_ids():
             return False  # it may be frozen or partitioned
         # Only the roster that a majority acknowledges shows who was removed.
         return self.endpoint_manager.leases.holds_lease(ledger.name)
 
-    async def _is_disclaimed(
+    async def _is_unclaimed_by_sender(
         self, ledger: EndpointLedger, key: AttemptKey
     ) -> bool:
         link = self.reservations.membership.links.get(key.member_id)
--- a/src/auburnswitch/endpoints/reservation_reconciler.py
+++ b/src/auburnswitch/endpoints/reservation_reconciler.py
@@ -85,7 +85,7 @@
                 ledger.end(reservation.id)
 
     def _has_recovered(self, ledger: EndpointLedger) -> bool:
-        """Returns whether every live member reported since the take-over."""
+        """Returns whether every live member reported since the takeover."""
         members = self.settings.members
         # Work granted by an earlier owner is dispatched within its time to
         # live and appears in its holder's next report and the next load report.
--- a/src/auburnswitch/http_exchange.py
+++ b/src/auburnswitch/http_exchange.py
@@ -1,4 +1,4 @@
-"""Sends one HTTP request on a connection of its own and reads the response.
+"""Sends one HTTP request on a dedicated connection and reads the response.
 
 Received bytes are processed in order, and the end of the connection only after
 all of them. Anything after a complete response is therefore ignored: the bytes
--- a/src/auburnswitch/operators/app.py
+++ b/src/auburnswitch/operators/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application for operators."""
+"""ASGI application of the daemon for operators."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -154,14 +154,14 @@
             EndpointFailureError: The endpoint sent nothing for too long.
             TimeoutError: The deadline passed.
         """
-        silent_at = monotonic_s() + self._frame_timeout_s()
+        frame_due_at = monotonic_s() + self._frame_timeout_s()
         try:
             async with asyncio.timeout_at(
-                min(silent_at, self.request.deadline_at)
+                min(frame_due_at, self.request.deadline_at)
             ):
                 return await anext(batches, None)
         except TimeoutError as error:
-            if silent_at >= self.request.deadline_at:
+            if frame_due_at >= self.request.deadline_at:
                 raise
             raise EndpointFailureError(
                 "the endpoint sent nothing for too long", sent=True, lost=False
--- a/src/auburnswitch/routing/completion_checks.py
+++ b/src/auburnswitch/routing/completion_checks.py
@@ -65,7 +65,7 @@
     def check_deadline(self, request: RoutedRequest, resumed_at: float) -> None:
         """Checks that a request ends within its deadline plus some slack.
 
-        A pause of this process excuses a late end.
+        A late end after a pause of this process is no violation.
 
         Args:
             request: The request.
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -18,7 +18,7 @@
     from auburnswitch.routing.endpoint_selector import Placement
     from auburnswitch.schema.installation import EndpointEntry
 
-# If this daemon dies, the engine frees the memory after the lease.
+# If this daemon terminates, the engine frees the memory after the lease.
 RESERVATION_LEASE_MS: Final = 3400
 RENEW_INTERVAL_S: Final = 1.0
 MAX_RELEASE_ATTEMPTS: Final = 3
--- a/src/auburnswitch/routing/outcomes.py
+++ b/src/auburnswitch/routing/outcomes.py
@@ -44,9 +44,9 @@
 class RetryAdvice(enum.Enum):
     """Whether and when a caller should send a failed request again."""
 
-    SOON = "capacity may become available"
-    LATER = "too few endpoints that can run the request are in service"
-    NEVER = "the request would fail again"
+    SOON = "soon"  # capacity may become available
+    LATER = "later"  # too few endpoints that can run it are in service
+    NEVER = "never"  # the request would fail again
 
 
 @dataclass(slots=True, kw_only=True)
@@ -54,7 +54,7 @@
     """No endpoint's answer could be delivered.
 
     Attributes:
-        reason: Reason of the failure, for the log.
+        reason: Reason of the failure, for the log and the caller.
         may_have_run: Whether some endpoint may have run the request.
         retry: Whether and when the caller should send the request again.
     """
--- a/src/auburnswitch/routing/retry_budget.py
+++ b/src/auburnswitch/routing/retry_budget.py
@@ -10,7 +10,9 @@
     from auburnswitch.schema.settings import RoutingSettings
 
 FLOOR_REFILL_S: Final = 60.0
-MAX_BANKED_REQUESTS: Final = 1000  # requests whose unused shares accumulate
+MAX_ACCUMULATED_REQUESTS: Final = (
+    1000  # requests whose unused shares accumulate
+)
 
 
 class RetryBudget:
@@ -54,8 +56,10 @@
 
     def _add(self, retries: float) -> None:
         settings = self.settings
-        max_banked_retries = MAX_BANKED_REQUESTS * settings.retry_budget_share
-        capacity = settings.retry_budget_floor + max_banked_retries
+        max_accumulated_retries = (
+            MAX_ACCUMULATED_REQUESTS * settings.retry_budget_share
+        )
+        capacity = settings.retry_budget_floor + max_accumulated_retries
         self.available_retries = min(capacity, self.available_retries + retries)
 
 
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -103,8 +103,8 @@
         self, answer: ResponseHead, events: list[bytes]
     ) -> None:
         gap_s = self.timeouts.gap_timeout_s()
-        silent_at = None if gap_s is None else monotonic_s() + gap_s
-        self.timer.reschedule(silent_at)
+        event_due_at = None if gap_s is None else monotonic_s() + gap_s
+        self.timer.reschedule(event_due_at)
         if not self.placement.item.writing:
             self._record_first_event()
         last_event_id = self.progress.last_event_id
--- a/src/auburnswitch/standins/engine.py
+++ b/src/auburnswitch/standins/engine.py
@@ -135,7 +135,7 @@
         return self.cold_state.cold
 
     def turn_cold(self) -> None:
-        """Turns the engine cold without reporting it to callers."""
+        """Resets the engine to the cold state without reporting it."""
         self.cold_state.turn_cold()
         self.recorder.record(HistoryKind.TURNED_COLD)
 
--- a/src/auburnswitch/standins/engine_cold.py
+++ b/src/auburnswitch/standins/engine_cold.py
@@ -18,7 +18,7 @@
         options: Limits of the cold state.
         cold: Whether the engine is cold.
         successes: Number of successful requests since the start or the last
-            time the engine turned cold.
+            time the engine became cold.
     """
 
     __slots__ = ("cold", "options", "successes")
--- a/tests/endpoints/fleet_harness.py
+++ b/tests/endpoints/fleet_harness.py
@@ -140,7 +140,7 @@
             await self.finish()
 
     def partition(self, instance: str) -> None:
-        """Partitions a daemon from its peers; it still reaches all else."""
+        """Partitions a daemon from its peers only."""
         for link in self._links_of(instance):
             link.dial = _refuse
             if link.connection is not None:
--- a/tests/endpoints/manager_support.py
+++ b/tests/endpoints/manager_support.py
@@ -73,7 +73,7 @@
 
 
 def make_endpoint_manager(
-    *, settled: bool = True, **values: Any
+    *, recovered: bool = True, **values: Any
 ) -> EndpointManager:
     """Returns the endpoint manager of a daemon without peers."""
     settings = Settings()
@@ -89,8 +89,8 @@
     )
     manager.on_load_report(ENGINE, LoadReport(boot_id="b1"), monotonic_s())
     ledger = manager.ledgers[ENGINE]
-    ledger.recovering = not settled
-    ledger.work_listed_at = monotonic_s() if settled else float("-inf")
+    ledger.recovering = not recovered
+    ledger.work_listed_at = monotonic_s() if recovered else float("-inf")
     return manager
 
 
--- a/tests/endpoints/test_handover.py
+++ b/tests/endpoints/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of the hand-over of endpoints at an owner's graceful stop."""
+"""Tests of the handover of endpoints at an owner's graceful stop."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.virtual_time import run_virtual
 
 ENGINE = "engine-0"
-HANDED_OVER_WITHIN_S = 3.0  # less than the wait without a hand-over
+HANDED_OVER_WITHIN_S = 3.0  # less than the wait without a handover
 
 
 class HandoverTest(unittest.TestCase):
@@ -28,7 +28,7 @@
         async def scenario():
             old, new = (
                 make_endpoint_manager(),
-                make_endpoint_manager(settled=False),
+                make_endpoint_manager(recovered=False),
             )
             warm_up = old.ledgers[ENGINE].warm_up
             warm_up.phase, warm_up.successes = EndpointPhase.WARMING, 9
@@ -63,7 +63,7 @@
                 ].warm_up.generation
                 return set(harness.statuses), generation
 
-        # Generation 1: a new ledger starts cold, then adopts the hand-over.
+        # Generation 1: a new ledger starts cold, then adopts the handover.
         self.assertEqual(run_virtual(scenario, FreezableLoop), ({200}, 1))
 
     def test_cold_endpoint_is_used_again_soon(self):
--- a/tests/endpoints/test_phases.py
+++ b/tests/endpoints/test_phases.py
@@ -145,13 +145,13 @@
 
         driver = self.run_when_warm(scenario)
         self.assert_cold(driver)
-        lingering = list(driver.ledger.reservations)  # it may still run
-        self.assertEqual(len(lingering), 1)
+        held_ids = list(driver.ledger.reservations)  # it may still run
+        self.assertEqual(len(held_ids), 1)
         generation = driver.ledger.warm_up.generation
         driver.manager.release(
             ReleaseRequest(
                 endpoint=ENGINE,
-                reservation_id=lingering[0],
+                reservation_id=held_ids[0],
                 used=True,
                 endpoint_lost=True,
             )
--- a/tests/members/ownership_state.py
+++ b/tests/members/ownership_state.py
@@ -72,7 +72,7 @@
     Ages are in ticks, ``NONE`` if there is no such message.
 
     Attributes:
-        epoch: Newest epoch of the member; ``DEAD`` if it has terminated.
+        epoch: Newest epoch of the member; ``TERMINATED`` if it has terminated.
         since: Oldest epoch of the consecutive ones that the member has; the
             newest epoch that it had if it has terminated.
         ack_ages: Age of each member's newest acknowledgement at ``epoch``.
--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -1,4 +1,4 @@
-"""Visits every state that a small model can get into."""
+"""Visits every reachable state of a small model."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
     """Visits all states, breadth first; returns their number.
 
     Raises:
-        InvariantViolationError: The check failed, with the way to the state.
+        InvariantViolationError: The check failed; the message gives the
+            path to the state.
     """
-    came_from: dict[State, State | None] = {first: None}
+    predecessors: dict[State, State | None] = {first: None}
     queue = collections.deque([first])
     while queue:
         state = queue.popleft()
@@ -33,17 +34,17 @@
             check(state)
         except InvariantViolationError as error:
             raise InvariantViolationError(
-                f"{error}: {_way(came_from, state)}"
+                f"{error}: {_format_path(predecessors, state)}"
             ) from None
         for after in next_states(state):
-            if after not in came_from:
-                came_from[after] = state
+            if after not in predecessors:
+                predecessors[after] = state
                 queue.append(after)
-    return len(came_from)
+    return len(predecessors)
 
 
-def _way(came_from: dict[State, State | None], state: State) -> str:
+def _format_path(predecessors: dict[State, State | None], state: State) -> str:
     steps = [state]
-    while (state := came_from[state]) is not None:
+    while (state := predecessors[state]) is not None:
         steps.append(state)
     return " <- ".join(str(step) for step in steps)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Runs daemons and stand-ins as processes of their own on loopback."""
+"""Runs daemons and stand-ins as separate processes on loopback."""
 
 from __future__ import annotations
 
--- a/tests/proof/__init__.py
+++ b/tests/proof/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the promises under failure."""
+"""Tests of the guarantees under failure."""
--- a/tests/proof/test_guarantees.py
+++ b/tests/proof/test_guarantees.py
@@ -1,4 +1,4 @@
-"""Short tests of promises that no package's own tests cover alone."""
+"""Short tests of guarantees that involve several packages."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_group_placer.py
+++ b/tests/routing/test_group_placer.py
@@ -25,7 +25,7 @@
 MEMORY_TOKENS = 50_000  # a tenth of an engine's, to keep prompts small
 TOKENS = 100_000
 ANSWER_TOKENS = 8
-SETTLE_S = 20.0
+CLEANUP_WAIT_S = 20.0
 
 
 async def request_completion(fleet, tokens=TOKENS, number=0):
@@ -53,7 +53,7 @@
         async with open_fleet(options) as fleet:
             await warm_up(fleet)
             result = await scenario(fleet)
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(CLEANUP_WAIT_S)
             used = [e.batch.memory_used_tokens for e in fleet.engines.values()]
             reserved = [
                 ledger.reserved_tokens
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -24,10 +24,10 @@
 FREE_S = 4.0  # unused memory must be free after this time
 DAEMONS = (0, 1)
 ENGINES = (0, 1)
-NOBODY = -1
+NO_HOLDER = -1
 
 IDLE, RESERVING, SENDING, RUNNING = "idle", "reserving", "sending", "running"
-ENDED, DEAD = "ended", "dead"
+ENDED, CRASHED = "ended", "crashed"
 RESERVE, RELEASE = "reserve", "release"
 
 
@@ -59,11 +59,11 @@
     """The reservation of an engine's memory.
 
     Attributes:
-        holder: Daemon that holds the memory, NOBODY if it is free.
+        holder: Daemon that holds the memory, NO_HOLDER if it is free.
         lease_ticks: Ticks until the reservation expires.
     """
 
-    holder: int = NOBODY
+    holder: int = NO_HOLDER
     lease_ticks: int = 0
 
 
@@ -113,7 +113,7 @@
             if engine.holder == call.daemon:
                 yield _with_engine(state, call.engine, Engine())
             return
-        if engine.holder not in (NOBODY, call.daemon):
+        if engine.holder not in (NO_HOLDER, call.daemon):
             return
         held = Engine(call.daemon, self.lease_ticks)
         after = _with_engine(state, call.engine, held)
@@ -153,9 +153,9 @@
             case "ended" if not self.stops_renewing:
                 if requester.since_renewed >= self.renewal_ticks:
                     yield self._renew(state, number)
-        if requester.phase not in (IDLE, ENDED, DEAD):
-            dead = Requester(phase=DEAD)
-            yield _with_requester(state, number, dead)
+        if requester.phase not in (IDLE, ENDED, CRASHED):
+            crashed = Requester(phase=CRASHED)
+            yield _with_requester(state, number, crashed)
 
     def _end(self, state: Model, number: int) -> Model:
         ended = Requester(phase=ENDED)
@@ -176,7 +176,7 @@
         ]
         requesters = []
         for r in state.requesters:
-            if r.phase in (ENDED, DEAD):
+            if r.phase in (ENDED, CRASHED):
                 since_end = min(r.since_end + 1, self.max_free_ticks + 1)
                 r = r._replace(since_end=since_end)
             since_renewed = min(r.since_renewed + 1, self.renewal_ticks)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time for tests; see the module that it comes from."""
+"""Virtual time for tests, from auburnswitch.experiments.virtual_time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def in_virtual_loop(function):
-    """Runs a test that is no coroutine in a loop of virtual time."""
+    """Runs a synchronous test in an event loop with virtual time."""
 
     @functools.wraps(function)
     def test(self):
