--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -157,9 +157,9 @@
     def target_gaps_ms(self) -> list[float]:
         """Returns the target gaps of the answers decoded on this endpoint."""
         return [
-            s.target_gap_ms
-            for s in self.work_by_request.values()
-            if s.decodes_here
+            work.target_gap_ms
+            for work in self.work_by_request.values()
+            if work.decodes_here
         ]
 
 
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -17,7 +17,7 @@
 PLACEMENT_POLL_INTERVAL_S: Final = 0.02
 MAX_PLACEMENT_WAIT_SHARE: Final = 0.12  # of the target latency
 # Below this target latency callers disconnect early, so requests never yield.
-YIELD_MIN_TARGET_S: Final = 1.0
+MIN_YIELD_TARGET_S: Final = 1.0
 MAX_YIELD_TARGET_RATIO: Final = 1.3
 MAX_YIELD_TIME_SHARE: Final = 0.3  # of the time left to the deadline
 MAX_DEFERRAL_TARGET_SHARE: Final = 0.8  # of the remaining target latency
@@ -60,7 +60,7 @@
 
 
 def _should_defer(job: DeliveryJob, placement: Placement) -> bool:
-    """Returns whether the request yields to others at no cost to itself."""
+    """Returns whether a request can and should yield to other requests."""
     if placement.first_token_s * DEADLINE_SAFETY_FACTOR > job.time_left_s():
         return False
     if placement.late:
@@ -75,7 +75,7 @@
 def _max_yield_s(job: DeliveryJob) -> float:
     """Returns how long a request may yield to others, in seconds."""
     target_s = job.route.target_latency_s
-    if target_s < YIELD_MIN_TARGET_S:
+    if target_s < MIN_YIELD_TARGET_S:
         return 0.0
     return min(
         MAX_YIELD_TARGET_RATIO * target_s,
--- a/src/auburnswitch/routing/prefill_planner.py
+++ b/src/auburnswitch/routing/prefill_planner.py
@@ -344,7 +344,9 @@
     joint = {}
     for engine in engines:
         joint |= engine.joint_prefills
-    return cost + sum(prefill_delay_cost(s, part_ms) for s in joint.values())
+    return cost + sum(
+        prefill_delay_cost(work, part_ms) for work in joint.values()
+    )
 
 
 @functools.lru_cache(maxsize=65536)
--- a/tests/endpoints/test_cold_bound.py
+++ b/tests/endpoints/test_cold_bound.py
@@ -18,7 +18,7 @@
 )
 NEVER_WARM = 100_000
 ANSWER_TOKENS = 100  # 2.5 s at the engine's decode step
-TAKE_OVER_S = 20  # roster removal, lease wait, listing of work
+TAKEOVER_WAIT_S = 20  # roster removal, lease wait, listing of work
 
 
 def cold_fleet_options() -> dict:
@@ -78,7 +78,7 @@
             owner = harness.owner_of(ENGINE)
             harness.fleet.kill_daemon(number_of(owner))
             await harness.load(
-                TAKE_OVER_S, REQUESTS_PER_S, answer=ANSWER_TOKENS
+                TAKEOVER_WAIT_S, REQUESTS_PER_S, answer=ANSWER_TOKENS
             )
 
         self.run_cold(scenario)
--- a/tests/proof/test_processes.py
+++ b/tests/proof/test_processes.py
@@ -20,7 +20,7 @@
 )
 
 LIMIT_S = 90
-MEMORY_FREED_TIMEOUT_S = 30  # the caller's longest wait at a counter
+MEMORY_FREED_TIMEOUT_S = 30  # longest acceptable wait of a caller
 PROMPT = "hello " * 100
 TOKENS = 120  # a stream of some three seconds
 FEW_TOKENS = 8
@@ -68,7 +68,8 @@
 
 async def drop_connections(fleet: ProcessFleet, name: str) -> None:
     url = fleet.urls[name] + "/control"
-    with contextlib.suppress(aiohttp.ServerDisconnectedError):  # this one too
+    # The connection of this request is dropped too.
+    with contextlib.suppress(aiohttp.ServerDisconnectedError):
         await fleet.session.post(url, json={"drop_connections": True})
 
 
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -21,7 +21,7 @@
 from tests.model_search import InvariantViolationError, explore_states
 
 TICK_S = 0.6  # a call arrives or is lost within a tick
-FREE_S = 4.0  # unused memory must be free after this time
+MAX_RELEASE_S = 4.0  # unused memory must be free after this time
 DAEMONS = (0, 1)
 ENGINES = (0, 1)
 NO_HOLDER = -1
@@ -90,7 +90,7 @@
 
     lease_ticks: int = int(RESERVATION_LEASE_MS / 1000 / TICK_S)
     renewal_ticks: int = max(1, int(RENEW_INTERVAL_S / TICK_S))
-    max_free_ticks: int = int(FREE_S / TICK_S)
+    max_free_ticks: int = int(MAX_RELEASE_S / TICK_S)
     needs_all: bool = True
     stops_renewing: bool = True
 
