--- a/src/auburnswitch/callers/__init__.py
+++ b/src/auburnswitch/callers/__init__.py
@@ -1,3 +1,3 @@
-"""HTTP interface for callers."""
+"""Provides the HTTP interface for callers."""
 
 from __future__ import annotations
--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -1,4 +1,4 @@
-"""ASGI application of the daemon for callers."""
+"""Provides the daemon's ASGI application for callers."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/callers/entry_app.py
+++ b/src/auburnswitch/callers/entry_app.py
@@ -1,4 +1,4 @@
-"""ASGI application of the entry daemon for callers.
+"""Provides the entry daemon's ASGI application for callers.
 
 Requests are routed according to the configured routes.
 """
--- a/src/auburnswitch/claims/__init__.py
+++ b/src/auburnswitch/claims/__init__.py
@@ -1,3 +1,3 @@
-"""Claims of idempotency keys, so that a request runs at most once."""
+"""Claims idempotency keys, so that a request runs at most once."""
 
 from __future__ import annotations
--- a/src/auburnswitch/claims/shard.py
+++ b/src/auburnswitch/claims/shard.py
@@ -1,4 +1,4 @@
-"""Contents of one claim shard and the changes that apply to them."""
+"""Applies changes to the contents of one claim shard."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/configuration/config_diff.py
+++ b/src/auburnswitch/configuration/config_diff.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of an installation's configuration."""
+"""Computes and applies the differences between configuration versions."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/configuration/installation.py
+++ b/src/auburnswitch/configuration/installation.py
@@ -1,4 +1,4 @@
-"""State of the installation: its configuration and endpoints."""
+"""Holds the state of the installation: its configuration and endpoints."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/daemon/__init__.py
+++ b/src/auburnswitch/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: creates, runs and stops all components."""
+"""Creates, runs and stops all components of the daemon."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/endpoints/endpoint_leases.py
+++ b/src/auburnswitch/endpoints/endpoint_leases.py
@@ -1,4 +1,4 @@
-"""Interface of the ownership leases, as the endpoints package uses them."""
+"""Defines the interface of the ownership leases that this package uses."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/endpoints/reservation.py
+++ b/src/auburnswitch/endpoints/reservation.py
@@ -1,4 +1,4 @@
-"""Reservations that an owner has granted on an endpoint."""
+"""Represents the reservations that an owner has granted on an endpoint."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/entry/__init__.py
+++ b/src/auburnswitch/entry/__init__.py
@@ -1,3 +1,3 @@
-"""The entry daemon: serves an installation's callers on the platform."""
+"""Runs the entry daemon, which serves an installation on the platform."""
 
 from __future__ import annotations
--- a/src/auburnswitch/entry/monitoring_apps.py
+++ b/src/auburnswitch/entry/monitoring_apps.py
@@ -1,4 +1,4 @@
-"""ASGI applications for readiness checks and metrics."""
+"""Provides the ASGI applications for readiness checks and metrics."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/keepalive_socket.py
+++ b/src/auburnswitch/keepalive_socket.py
@@ -1,4 +1,4 @@
-"""TCP sockets that detect an unresponsive peer."""
+"""Opens TCP sockets that detect an unresponsive peer."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/members/__init__.py
+++ b/src/auburnswitch/members/__init__.py
@@ -1,3 +1,3 @@
-"""Membership, peer communication and endpoint ownership of daemons."""
+"""Manages membership, peer communication and endpoint ownership."""
 
 from __future__ import annotations
--- a/src/auburnswitch/members/frames.py
+++ b/src/auburnswitch/members/frames.py
@@ -1,4 +1,4 @@
-"""Authenticated thrift frames between daemons.
+"""Encodes and verifies authenticated thrift frames between daemons.
 
 A frame is a length (4 bytes), a sequence number (8 bytes), a message
 authentication code (16 bytes) and an envelope in thrift's binary protocol. The
--- a/src/auburnswitch/members/gossip_peer.py
+++ b/src/auburnswitch/members/gossip_peer.py
@@ -1,4 +1,4 @@
-"""Liveness and newest message of another entry daemon."""
+"""Tracks the liveness and the newest message of another entry daemon."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/members/hash_ring.py
+++ b/src/auburnswitch/members/hash_ring.py
@@ -1,4 +1,4 @@
-"""Consistent hashing of many names onto members."""
+"""Maps many names onto members by consistent hashing."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/members/member_view.py
+++ b/src/auburnswitch/members/member_view.py
@@ -1,4 +1,4 @@
-"""One daemon's view of the roster and of the liveness of its peers."""
+"""Holds one daemon's view of the roster and of its peers' liveness."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/members/peer_connection.py
+++ b/src/auburnswitch/members/peer_connection.py
@@ -1,4 +1,4 @@
-"""One authenticated connection between two daemons."""
+"""Manages one authenticated connection between two daemons."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/members/peer_status.py
+++ b/src/auburnswitch/members/peer_status.py
@@ -1,4 +1,4 @@
-"""One daemon's record of a peer's liveness and state."""
+"""Records a peer's liveness and reported state."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/members/rendezvous.py
+++ b/src/auburnswitch/members/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing of names onto members."""
+"""Maps names onto members by rendezvous hashing."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/members/signed_frames.py
+++ b/src/auburnswitch/members/signed_frames.py
@@ -1,4 +1,4 @@
-"""Authenticated thrift messages that do not depend on a connection.
+"""Signs and verifies thrift messages independently of a connection.
 
 A frame is a message authentication code (16 bytes), a compression flag (1
 byte), and a message in thrift's binary protocol, which may be compressed. The
--- a/src/auburnswitch/object_store/__init__.py
+++ b/src/auburnswitch/object_store/__init__.py
@@ -1,3 +1,3 @@
-"""Client of the object store that daemons share."""
+"""Accesses the object store that daemons share."""
 
 from __future__ import annotations
--- a/src/auburnswitch/object_store/client.py
+++ b/src/auburnswitch/object_store/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object store."""
+"""Calls the platform's object store."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/object_store/types.py
+++ b/src/auburnswitch/object_store/types.py
@@ -1,4 +1,4 @@
-"""Values and errors that calls to the platform's store return."""
+"""Defines the values and errors that calls to the store return."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/operators/__init__.py
+++ b/src/auburnswitch/operators/__init__.py
@@ -1,3 +1,3 @@
-"""HTTP interface for operators: tickets, status and audit trail."""
+"""Provides the HTTP interface for tickets, status and audit trail."""
 
 from __future__ import annotations
--- a/src/auburnswitch/operators/app.py
+++ b/src/auburnswitch/operators/app.py
@@ -1,4 +1,4 @@
-"""ASGI application of the daemon for operators."""
+"""Provides the daemon's ASGI application for operators."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/operators/audit.py
+++ b/src/auburnswitch/operators/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: the changes made by each accepted ticket."""
+"""Lists the changes made by each accepted ticket: the audit trail."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/platform/protocol.py
+++ b/src/auburnswitch/platform/protocol.py
@@ -1,4 +1,4 @@
-"""Headers and paths of the platform's protocol."""
+"""Defines the headers and paths of the platform's protocol."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/platform/store_client.py
+++ b/src/auburnswitch/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object store, as the entry daemon uses it."""
+"""Calls the platform's object store for the entry daemon."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/results.py
+++ b/src/auburnswitch/results.py
@@ -1,4 +1,4 @@
-"""Refusals and failures with their numeric result codes."""
+"""Defines refusals and failures with their numeric result codes."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/attempt_timeouts.py
+++ b/src/auburnswitch/routing/attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts after which an attempt at a silent endpoint is abandoned."""
+"""Computes when an attempt at a silent endpoint is abandoned."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/delivery_job.py
+++ b/src/auburnswitch/routing/delivery_job.py
@@ -1,4 +1,4 @@
-"""The state of a caller's request while it is being delivered."""
+"""Holds the state of a caller's request while it is being delivered."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/engine_candidate.py
+++ b/src/auburnswitch/routing/engine_candidate.py
@@ -1,4 +1,4 @@
-"""An engine that may prefill or decode, as seen by one placement decision."""
+"""Evaluates an engine as a candidate to prefill or decode a prompt."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -1,4 +1,4 @@
-"""Work of all daemons on each endpoint, as known to this daemon."""
+"""Tracks the work of all daemons on each endpoint."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/outcomes.py
+++ b/src/auburnswitch/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of a request and of its attempts."""
+"""Defines the outcomes of a request and of its attempts."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/policy.py
+++ b/src/auburnswitch/routing/policy.py
@@ -1,4 +1,4 @@
-"""Policies that choose the endpoint of a request."""
+"""Defines the policies that choose the endpoint of a request."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/request.py
+++ b/src/auburnswitch/routing/request.py
@@ -1,4 +1,4 @@
-"""A caller's request as it is routed to an endpoint."""
+"""Represents a caller's request as it is routed to an endpoint."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/__init__.py
+++ b/src/auburnswitch/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Small stand-ins for external systems, used by tests and the demo."""
+"""Simulates external systems for tests and the demo."""
 
 from __future__ import annotations
--- a/src/auburnswitch/standins/answers.py
+++ b/src/auburnswitch/standins/answers.py
@@ -1,4 +1,4 @@
-"""Deterministic answers, which a checker can compute from the prompt.
+"""Generates deterministic answers that a checker can recompute.
 
 Token `i` of an answer depends only on the complete prompt and on `i`. The
 digest of a prompt can be extended segment by segment, so that an engine that
--- a/src/auburnswitch/standins/caller_headers.py
+++ b/src/auburnswitch/standins/caller_headers.py
@@ -1,4 +1,4 @@
-"""Request headers of the platform's callers and checks of response headers."""
+"""Builds callers' request headers and checks response headers."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/control.py
+++ b/src/auburnswitch/standins/control.py
@@ -1,4 +1,4 @@
-"""HTTP routes that set a stand-in's switches and return its history."""
+"""Serves HTTP routes that set switches and return the history."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/endpoint.py
+++ b/src/auburnswitch/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in for an endpoint of the platform, with injectable faults."""
+"""Simulates an endpoint of the platform, with injectable faults."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine.py
+++ b/src/auburnswitch/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine."""
+"""Simulates a model engine."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_api.py
+++ b/src/auburnswitch/standins/engine_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of an engine stand-in."""
+"""Serves the HTTP API of the engine stand-in."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_batch.py
+++ b/src/auburnswitch/standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: memory admission, chunked prefill and decode."""
+"""Simulates continuous batching with memory admission and chunked prefill."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_cache.py
+++ b/src/auburnswitch/standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of an engine and the feed of its changes."""
+"""Simulates the prefix cache of an engine and the feed of its changes."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_cold.py
+++ b/src/auburnswitch/standins/engine_cold.py
@@ -1,4 +1,4 @@
-"""The cold state of an engine, in which it tolerates only a small load."""
+"""Simulates the cold state, in which an engine tolerates little load."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_control.py
+++ b/src/auburnswitch/standins/engine_control.py
@@ -1,4 +1,4 @@
-"""Switches and actions of an engine's control endpoint."""
+"""Applies the switches and actions of an engine's control endpoint."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_job.py
+++ b/src/auburnswitch/standins/engine_job.py
@@ -1,4 +1,4 @@
-"""A job in an engine's batch: a completion or the prefill of a segment."""
+"""Represents a job of a batch: a completion or the prefill of a segment."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_job_table.py
+++ b/src/auburnswitch/standins/engine_job_table.py
@@ -1,4 +1,4 @@
-"""Lookup table of the streams and KV caches that callers can address."""
+"""Looks up the streams and KV caches that callers can address."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_load.py
+++ b/src/auburnswitch/standins/engine_load.py
@@ -1,4 +1,4 @@
-"""Load reports of an engine."""
+"""Builds the load reports of an engine."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_options.py
+++ b/src/auburnswitch/standins/engine_options.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's service times and limits, with their defaults.
+"""Defines the engine stand-in's service times and limits.
 
 Prefill runs one chunk at a time and takes `chunk / prefill_tokens_per_second`.
 Decode runs concurrently with prefill: one step decodes one token of every
--- a/src/auburnswitch/standins/engine_orders.py
+++ b/src/auburnswitch/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine, protected by fencing numbers."""
+"""Parses and applies orders to an engine, protected by fencing numbers."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine_responses.py
+++ b/src/auburnswitch/standins/engine_responses.py
@@ -1,4 +1,4 @@
-"""Responses of an engine: SSE events and complete JSON objects."""
+"""Builds an engine's responses: SSE events and complete JSON objects."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/history.py
+++ b/src/auburnswitch/standins/history.py
@@ -1,4 +1,4 @@
-"""An append-only history of the stand-ins' actions."""
+"""Records the actions of stand-ins in an append-only history."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/installation_store.py
+++ b/src/auburnswitch/standins/installation_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's object store with its native HTTP API."""
+"""Simulates the platform's object store with its native HTTP API."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/instances.py
+++ b/src/auburnswitch/standins/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, which readers get with a lag."""
+"""Simulates the platform's list of instances, which is read with a lag."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/lagged_value.py
+++ b/src/auburnswitch/standins/lagged_value.py
@@ -1,4 +1,4 @@
-"""A value that readers get with a fixed lag."""
+"""Holds a value that is read with a fixed lag."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/listener.py
+++ b/src/auburnswitch/standins/listener.py
@@ -1,4 +1,4 @@
-"""An HTTP listener that can abort connections, pause and be down."""
+"""Serves HTTP and can abort connections, pause and be down."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/lost_response.py
+++ b/src/auburnswitch/standins/lost_response.py
@@ -1,4 +1,4 @@
-"""A response that never reaches the client."""
+"""Simulates a response that never reaches the client."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/object_store.py
+++ b/src/auburnswitch/standins/object_store.py
@@ -1,4 +1,4 @@
-"""In-memory object store behind the platform's HTTP API."""
+"""Implements the in-memory object store of the platform stand-in."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/plain_api.py
+++ b/src/auburnswitch/standins/plain_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of the plain service stand-in."""
+"""Serves the HTTP API of the plain service stand-in."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/plain_service.py
+++ b/src/auburnswitch/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain HTTP service that stores bookings."""
+"""Simulates a plain HTTP service that stores bookings."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/platform.py
+++ b/src/auburnswitch/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: object API and instance list."""
+"""Simulates the platform: object API and instance list."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/platform_api.py
+++ b/src/auburnswitch/standins/platform_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of the platform stand-in."""
+"""Serves the HTTP API of the platform stand-in."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/token_bucket.py
+++ b/src/auburnswitch/standins/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket rate limiter that uses the event loop's clock."""
+"""Limits calls with a token bucket that uses the event loop's clock."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/weight_store.py
+++ b/src/auburnswitch/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the rate-limited model weight store."""
+"""Simulates the rate-limited model weight store."""
 
 from __future__ import annotations
 
