--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application for callers."""
+"""Provides the daemon's ASGI application for callers."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/endpoints/rights.py
+++ b/src/auburnswitch/endpoints/endpoint_leases.py
@@ -1,4 +1,4 @@
-"""Defines the ownership lease interface that endpoints/ depends on."""
+"""Defines the interface of the ownership leases that this package uses."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/operators/app.py
+++ b/src/auburnswitch/operators/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application for operators."""
+"""Provides the daemon's ASGI application for operators."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/standins/engine.py
+++ b/src/auburnswitch/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine."""
+"""Simulates a model engine."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
         return self.cold_state.cold
 
     def turn_cold(self) -> None:
-        """Turns the engine cold without reporting it to callers."""
+        """Resets the engine to the cold state without reporting it."""
         self.cold_state.turn_cold()
         self.recorder.record(HistoryKind.TURNED_COLD)
 
--- a/src/auburnswitch/standins/engine_cold.py
+++ b/src/auburnswitch/standins/engine_cold.py
@@ -1,4 +1,4 @@
-"""The cold state of an engine, in which it tolerates only a small load."""
+"""Simulates the cold state, in which an engine tolerates little load."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         options: Limits of the cold state.
         cold: Whether the engine is cold.
         successes: Number of successful requests since the start or the last
-            time the engine turned cold.
+            time the engine became cold.
     """
 
     __slots__ = ("cold", "options", "successes")
