--- a/tests/routing/test_load_observer.py
+++ b/tests/routing/test_load_observer.py
@@ -32,7 +32,7 @@
         self.requested_ids: list[str] = []
         self.in_flight = self.max_in_flight = 0
 
-    async def report(self, endpoint):
+    async def fetch_load(self, endpoint):
         self.requested_ids.append(endpoint.id)
         self.in_flight += 1
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
