--- a/src/auburnswitch/routing/answer_stream.py
+++ b/src/auburnswitch/routing/answer_stream.py
@@ -111,7 +111,9 @@
                 )
             except EndpointFailureError as error:
                 if not self._may_resume(error, resumes):
-                    error.sent = error.sent or resumes > 0  # on the first call
+                    error.sent = (
+                        error.sent or resumes > 0
+                    )  # sent by the first call
                     raise
             resumes += 1
             await asyncio.sleep(RESUME_DELAY_S)
@@ -201,7 +203,7 @@
 
     def _make_end(self, frame: StreamFrame) -> AnswerEnd:
         usage = dict(frame.usage or {})
-        if self.progress.prior_tokens:  # counted as prompt tokens
+        if self.progress.prior_tokens:  # the engine counts them as prompt
             usage["prompt_tokens"] -= self.progress.prior_tokens
             usage["completion_tokens"] += self.progress.prior_tokens
         return AnswerEnd(finish_reason=frame.finish_reason, usage=usage)
--- a/src/auburnswitch/routing/crash_registry.py
+++ b/src/auburnswitch/routing/crash_registry.py
@@ -15,13 +15,11 @@
 
     from auburnswitch.platform.requests import CallerRequest
 
-CRASHES_TO_FORBID_RETRY: Final = (
-    2  # crashes after which a request is not retried
-)
-CRASHES_TO_REFUSE: Final = 3  # crashes after which a request is refused
+CRASHES_TO_FORBID_RETRY: Final = 2
+CRASHES_TO_REFUSE: Final = 3
 RETENTION_S: Final = 600.0
 MAX_FINGERPRINTS: Final = 5000
-ANNOUNCE_DURATION_S: Final = 1.5  # time that a crash is announced to peers
+ANNOUNCE_DURATION_S: Final = 1.5
 MAX_CRASHES_PER_DATAGRAM: Final = 40
 _SEPARATOR: Final = "/"
 
@@ -42,8 +40,8 @@
     def record_crash(self, fingerprint: str, endpoint: str) -> None:
         """Records a crash that this daemon has observed."""
         if self._add(fingerprint, endpoint):
-            crash_name = f"{fingerprint}{_SEPARATOR}{endpoint}"
-            self._recorded_at[crash_name] = monotonic_s()
+            crash_id = f"{fingerprint}{_SEPARATOR}{endpoint}"
+            self._recorded_at[crash_id] = monotonic_s()
             log_event(
                 EventId.CRASH_STRIKE,
                 fingerprint=fingerprint,
@@ -51,10 +49,10 @@
                 crashes=self.count(fingerprint),
             )
 
-    def merge_peer_crashes(self, crash_names: Iterable[str]) -> None:
+    def merge_peer_crashes(self, crash_ids: Iterable[str]) -> None:
         """Records crashes that a peer has observed."""
-        for crash_name in crash_names:
-            fingerprint, _, endpoint = crash_name.partition(_SEPARATOR)
+        for crash_id in crash_ids:
+            fingerprint, _, endpoint = crash_id.partition(_SEPARATOR)
             if endpoint:
                 self._add(fingerprint, endpoint)
 
@@ -62,19 +60,19 @@
         """Returns the local crashes to announce to peers."""
         now = monotonic_s()
         expired = [
-            crash_name
-            for crash_name, at in self._recorded_at.items()
+            crash_id
+            for crash_id, at in self._recorded_at.items()
             if at < now - ANNOUNCE_DURATION_S
         ]
-        for crash_name in expired:
-            del self._recorded_at[crash_name]
+        for crash_id in expired:
+            del self._recorded_at[crash_id]
         return list(self._recorded_at)[:MAX_CRASHES_PER_DATAGRAM]
 
     def count(self, fingerprint: str) -> int:
         """Returns how many endpoints crashed while running a request."""
-        oldest = monotonic_s() - RETENTION_S
+        cutoff_at = monotonic_s() - RETENTION_S
         crashes = self._crashes.get(fingerprint, {})
-        return sum(at >= oldest for at in crashes.values())
+        return sum(at >= cutoff_at for at in crashes.values())
 
     def is_retry_forbidden(self, fingerprint: str) -> bool:
         """Returns whether a request must not be retried."""
--- a/src/auburnswitch/routing/delivery.py
+++ b/src/auburnswitch/routing/delivery.py
@@ -1,4 +1,4 @@
-"""Attempts a request at endpoints until it is answered or has to fail."""
+"""Sends a request to endpoints until it is answered or may not be retried."""
 
 from __future__ import annotations
 
--- a/src/auburnswitch/routing/dispatcher.py
+++ b/src/auburnswitch/routing/dispatcher.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class AnswerFailed:
-    """The final refusal or failure."""
+    """The last part of a refused or failed answer."""
 
     refusal: Refusal
 
@@ -208,11 +208,13 @@
     async def _check_for_crash(
         self,
         request: RoutedRequest,
-        held: HeldReservation | GroupReservation,
+        placement: HeldReservation | GroupReservation,
     ) -> None:
-        spec = self.placer.endpoint_manager.state.endpoints.get(held.endpoint)
-        if spec is not None and held.boot_id:
-            await self.crash_detector.check_for_crash(request, held, spec)
+        spec = self.placer.endpoint_manager.state.endpoints.get(
+            placement.endpoint
+        )
+        if spec is not None and placement.boot_id:
+            await self.crash_detector.check_for_crash(request, placement, spec)
 
     async def _attempt(
         self,
@@ -233,7 +235,7 @@
             member_id=self.member_id,
         )
         started_at = monotonic_s()
-        lost = finished = False
+        lost = ended = False
         progress.start_attempt()
         try:
             request.dispatched = True
@@ -248,22 +250,22 @@
             )
             async with contextlib.aclosing(stream.parts()) as parts:
                 async for part in parts:
-                    finished = isinstance(part, AnswerEnd)
+                    ended = isinstance(part, AnswerEnd)
                     yield part
                     self._record_first_token(request, held, started_at)
         except EndpointFailureError as error:
             lost = error.lost
-            finished = error.lost
+            ended = error.lost
             raise
         finally:
-            may_still_run = not finished and held.dispatched_at is not None
-            end = self._end_attempt(
+            may_still_run = not ended and held.dispatched_at is not None
+            cleanup = self._end_attempt(
                 held,
                 attempt if may_still_run else None,
-                succeeded=finished and not lost,
+                succeeded=ended and not lost,
                 endpoint_lost=lost,
             )
-            self.cleanups.start(end, "end attempt")
+            self.cleanups.start(cleanup, "end attempt")
 
     async def _end_attempt(
         self,
@@ -299,13 +301,13 @@
         self.metrics.time_to_first_token.record(
             first_token_s, {"length": length}
         )
-        progress = self.placer.reservations.report_prefilled(held)
-        self.cleanups.start(progress, "note progress")
+        report = self.placer.reservations.report_prefilled(held)
+        self.cleanups.start(report, "note progress")
 
     def _record_retry(
         self,
         request: RoutedRequest,
-        held: HeldReservation | GroupReservation,
+        placement: HeldReservation | GroupReservation,
         reason: str,
     ) -> None:
         if request.attempts >= request.max_attempts:
@@ -314,7 +316,7 @@
         log_event(
             EventId.REQUEST_RETRIED,
             request_id=request.id,
-            endpoint=held.endpoint,
+            endpoint=placement.endpoint,
             reason=reason,
         )
 
--- a/src/auburnswitch/routing/endpoint_selector.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -37,7 +37,8 @@
 
 PLAIN_REQUEST_MS: Final = 300.0  # expected duration of a plain request
 MAX_PLAIN_QUEUED: Final = 2  # requests beyond an endpoint's slots
-LONG_PROMPT_TOKENS: Final = 80_000  # from which memory is scarce
+# Minimum for a long prompt; two of them may not fit into one engine's memory.
+LONG_PROMPT_TOKENS: Final = 80_000
 FALLBACK_SAMPLE_SIZE: Final = 32  # endpoints sampled from all cells
 REMAINING_TIME_FACTOR: Final = 1.5  # of the predicted duration of a request
 _MS_PER_S: Final = 1000.0
@@ -127,15 +128,15 @@
 
     def is_feasible(self, job: DeliveryJob) -> bool:
         """Returns whether idle endpoints could serve a request in time."""
-        usable = self._count_usable(job)
+        usable_count = self._count_usable(job)
         model, request = job.service.engine, job.request
         if model is None or not request.prompt_tokens:
-            return usable > 0
+            return usable_count > 0
         tokens = request.prompt_tokens + request.answer_tokens
         needed = engines_needed(model, tokens)
-        if needed is None or usable < needed:
+        if needed is None or usable_count < needed:
             return False
-        prefill_ms = min_prefill_ms(model, request.prompt_tokens, usable)
+        prefill_ms = min_prefill_ms(model, request.prompt_tokens, usable_count)
         return prefill_ms <= job.time_left_s() * _MS_PER_S
 
     def _count_usable(self, job: DeliveryJob) -> int:
@@ -187,13 +188,13 @@
             for endpoint in usable
             if not self.health.is_suspect(endpoint.entry.id)
         ]
-        for candidates in (healthy, usable):
+        for choices in (healthy, usable):
             if job.service.engine is not None and job.request.prompt_tokens:
                 placement = self._choose_engines(
-                    job, job.service.engine, candidates
+                    job, job.service.engine, choices
                 )
             else:
-                placement = self._choose_plain(candidates)
+                placement = self._choose_plain(choices)
             if placement is not None:
                 return placement
         return None
--- a/src/auburnswitch/routing/engine_candidate.py
+++ b/src/auburnswitch/routing/engine_candidate.py
@@ -18,15 +18,17 @@
 TIGHT_GAP_RATIO: Final = 0.67
 REFERENCE_GAP_MS: Final = 250.0
 SLACK_MARGIN_MS: Final = 150.0  # for decode passes and updates in transit
-LATE_WEIGHT_SHARE: Final = 0.25  # of an answer's weight, once late
+LATE_WEIGHT_SHARE: Final = 0.25  # of the weight of an already late answer
 _MS_PER_S: Final = 1000.0
 
 
 class DelayablePrefills(enum.Enum):
-    """Existing joint prefills that a new one may delay.
+    """Joint prefills that a new part may delay by more than their slack.
 
-    NONE: none that it would make late, and none that is late. LATE: only those
-    that are late in any case.
+    Attributes:
+        NONE: No joint prefill.
+        LATE: Only joint prefills that are predicted to be late in any case.
+        ANY: Any joint prefill.
     """
 
     NONE = "none"
@@ -58,7 +60,8 @@
     Attributes:
         endpoint: The engine's endpoint.
         backlog_ms: Time that running and queued prefills still take.
-        decode_count: Requests whose answers are or will be decoded there.
+        decode_count: Requests whose answers are or will be decoded there,
+            including unknown requests.
         helper_prefill_count: Prompts prefilled there for other engines.
         joint_prefills: Unfinished joint prefills, by daemon and item id.
         slack_ms: Time by which the joint prefills that are on time may be
--- a/src/auburnswitch/routing/fleet_load.py
+++ b/src/auburnswitch/routing/fleet_load.py
@@ -193,8 +193,8 @@
         self._add_work(daemon, item, item.endpoint, item.memory_tokens)
         for index, helper in enumerate(item.helpers):
             is_holder = index < item.holders
-            memory = item.helper_memory_tokens if is_holder else 0
-            self._add_work(daemon, item, helper, memory)
+            memory_tokens = item.helper_memory_tokens if is_holder else 0
+            self._add_work(daemon, item, helper, memory_tokens)
 
     def remove(self, daemon: str, item_id: int) -> None:
         """Removes the work item of a request that has ended."""
@@ -232,15 +232,15 @@
             if not work.decodes_here and not work.memory_tokens:
                 del load.work_by_request[daemon, item_id]
 
-    def expire(self, own: str) -> None:
+    def expire(self, own_instance: str) -> None:
         """Removes expired work items of other daemons.
 
         Args:
-            own: This daemon's instance, whose items do not expire.
+            own_instance: This daemon's instance, whose items do not expire.
         """
         now = monotonic_s()
         for daemon, items in self.items.items():
-            if daemon == own:
+            if daemon == own_instance:
                 continue  # this daemon removes its items when they end
             expired = [
                 item.id
--- a/src/auburnswitch/routing/group_placer.py
+++ b/src/auburnswitch/routing/group_placer.py
@@ -56,7 +56,7 @@
 
 
 class GroupPlacer:
-    """Reserves groups of endpoints, all or none.
+    """Reserves capacity on all endpoints of a group, or on none.
 
     Attributes:
         placer: Provides the endpoints, reservations and strikes.
@@ -200,9 +200,9 @@
                 endpoint_manager.state.endpoints[n].memory_tokens
                 for n in chosen
             )
-            segment = math.ceil(request.prompt_tokens / count) + count
+            segment_tokens = math.ceil(request.prompt_tokens / count) + count
             if (
-                segment + request.answer_tokens
+                segment_tokens + request.answer_tokens
                 <= capacity_tokens * long_memory_share
             ):
                 return chosen
--- a/src/auburnswitch/routing/group_runner.py
+++ b/src/auburnswitch/routing/group_runner.py
@@ -79,7 +79,7 @@
         request.dispatched = True
         try:
             chain = await self._prefill_chain(request, group, attempt)
-            stream = self._stream(request, group, attempt, progress, chain)
+            stream = self._make_stream(request, group, attempt, progress, chain)
             async with contextlib.aclosing(stream.parts()) as parts:
                 async for part in parts:
                     if isinstance(part, AnswerEnd):
@@ -157,7 +157,7 @@
                 )
             return str((await response.json())["kv_id"])
 
-    def _stream(
+    def _make_stream(
         self,
         request: RoutedRequest,
         group: GroupReservation,
--- a/src/auburnswitch/routing/load_observer.py
+++ b/src/auburnswitch/routing/load_observer.py
@@ -26,7 +26,7 @@
     from auburnswitch.routing.fleet_load import FleetLoad
 
 OBSERVE_INTERVAL_S: Final = 2.0
-# After the start, and for engines with unknown requests or a slowdown.
+# Applies after the start and to engines with unknown requests or a slowdown.
 FAST_OBSERVE_INTERVAL_S: Final = 0.5
 STARTUP_S: Final = 8.0
 SLOWDOWN_THRESHOLD: Final = 1.15
@@ -52,7 +52,7 @@
     __slots__ = (
         "_assigned",
         "_assignment_key",
-        "_next_at",
+        "_next_poll_at",
         "_started_at",
         "endpoint_client",
         "installation",
@@ -79,7 +79,7 @@
         self.live_instances = live_instances
         self.publish = publish
         self._started_at = monotonic_s()
-        self._next_at: dict[str, float] = {}
+        self._next_poll_at: dict[str, float] = {}
         self._assigned: list[TrackedEndpoint] = []
         self._assignment_key: tuple[frozenset[str], int] = (frozenset(), -1)
 
@@ -88,7 +88,7 @@
         while True:
             await asyncio.sleep(FAST_OBSERVE_INTERVAL_S)
             due = self._due_engines()
-            reports = await asyncio.gather(*map(self._observe, due))
+            reports = await asyncio.gather(*map(self._poll_engine, due))
             changed_reports = [
                 report for report in reports if report is not None
             ]
@@ -106,9 +106,11 @@
         due = [
             endpoint
             for endpoint in self._assigned
-            if self._next_at.get(endpoint.entry.id, 0.0) <= now
+            if self._next_poll_at.get(endpoint.entry.id, 0.0) <= now
         ]
-        due.sort(key=lambda endpoint: self._next_at.get(endpoint.entry.id, 0.0))
+        due.sort(
+            key=lambda endpoint: self._next_poll_at.get(endpoint.entry.id, 0.0)
+        )
         return due[:MAX_CONCURRENT_REPORTS]
 
     def _refresh_assignment(self) -> None:
@@ -130,7 +132,9 @@
             and ring.owner(endpoint.entry.id) == self.instance
         ]
 
-    async def _observe(self, endpoint: TrackedEndpoint) -> EngineReport | None:
+    async def _poll_engine(
+        self, endpoint: TrackedEndpoint
+    ) -> EngineReport | None:
         """Polls one engine.
 
         Returns:
@@ -140,7 +144,7 @@
         load = self.load.by_endpoint[endpoint.entry.id]
         load_report = await self.endpoint_client.fetch_load(endpoint.entry)
         if load_report is None:
-            self._next_at[endpoint.entry.id] = now + OBSERVE_INTERVAL_S
+            self._next_poll_at[endpoint.entry.id] = now + OBSERVE_INTERVAL_S
             return None
         known_requests = load.recent_request_count()
         unknown_requests = max(0, load_report.requests - known_requests)
@@ -161,11 +165,11 @@
             unknown_requests > 0 or load_report.slowdown >= SLOWDOWN_THRESHOLD
         )
         load.apply_report(report)
-        poll_fast = is_abnormal or now < self._started_at + STARTUP_S
+        should_poll_fast = is_abnormal or now < self._started_at + STARTUP_S
         interval_s = (
-            FAST_OBSERVE_INTERVAL_S if poll_fast else OBSERVE_INTERVAL_S
+            FAST_OBSERVE_INTERVAL_S if should_poll_fast else OBSERVE_INTERVAL_S
         )
-        self._next_at[endpoint.entry.id] = now + interval_s
+        self._next_poll_at[endpoint.entry.id] = now + interval_s
         if not is_abnormal and not was_abnormal:
             return None
         if is_abnormal != was_abnormal:
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -89,7 +89,9 @@
             if refused:
                 yield MemoryRefusal(endpoints=refused)
                 return
-            renewing = asyncio.create_task(self._renew(holders, key, tokens))
+            renewal_task = asyncio.create_task(
+                self._renew(holders, key, tokens)
+            )
             try:
                 reserved_helpers = [
                     PrefillHelper(endpoint=endpoint, reservation=key)
@@ -97,7 +99,7 @@
                 ]
                 yield [*reserved_helpers, *unreserved_helpers]
             finally:
-                renewing.cancel()
+                renewal_task.cancel()
         finally:
             for endpoint in holders:
                 self._start_release(endpoint, key)
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -20,7 +20,7 @@
 MIN_YIELD_TARGET_S: Final = 1.0
 MAX_YIELD_TARGET_RATIO: Final = 1.3
 MAX_YIELD_TIME_SHARE: Final = 0.3  # of the time left to the deadline
-MAX_DEFERRAL_TARGET_SHARE: Final = 0.8  # of the remaining target latency
+YIELD_FIRST_TOKEN_SHARE: Final = 0.8  # of the remaining target latency
 DEADLINE_SAFETY_FACTOR: Final = 1.25  # of the predicted first-token time
 
 
@@ -52,21 +52,21 @@
         if placement is None and now >= give_up_at:
             return None
         if placement is not None and (
-            now >= yield_until or not _should_defer(job, placement)
+            now >= yield_until or not _should_yield(job, placement)
         ):
             return placement
         await asyncio.sleep(PLACEMENT_POLL_INTERVAL_S)
     return None
 
 
-def _should_defer(job: DeliveryJob, placement: Placement) -> bool:
+def _should_yield(job: DeliveryJob, placement: Placement) -> bool:
     """Returns whether a request can and should yield to other requests."""
     if placement.first_token_s * DEADLINE_SAFETY_FACTOR > job.time_left_s():
         return False
     if placement.late:
         return True
     slack_s = (
-        job.target_time_left_s() * MAX_DEFERRAL_TARGET_SHARE
+        job.target_time_left_s() * YIELD_FIRST_TOKEN_SHARE
         - placement.first_token_s
     )
     return placement.delays_others and slack_s > 0
--- a/src/auburnswitch/routing/placer.py
+++ b/src/auburnswitch/routing/placer.py
@@ -49,8 +49,8 @@
 STALENESS_MAX_AGE_S: Final = 1.0
 UNKNOWN_PHASE_PENALTY_S: Final = 0.5
 FULL_PENALTY_S: Final = 1.0
-MAX_SHORT_PROBES: Final = 4
-MAX_LONG_PROBES: Final = 8
+MAX_PROBES: Final = 4  # per round, for a short or medium prompt
+MAX_LONG_PROBES: Final = 8  # per round, for a long prompt
 
 
 @dataclass(slots=True, kw_only=True)
@@ -115,10 +115,12 @@
     def _place_by_sampling(
         self, request: RoutedRequest, excluded: set[str], sample_size: int
     ) -> HeldReservation | Refusal:
-        names = self._candidates(request, excluded)
+        names = self._rank_candidates(request, excluded)
         if not names:
             return refusal(
-                ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
+                ResultCode.NO_ENDPOINT,
+                ran=_execution_state(request),
+                retry_after_s=1,
             )
         sample = self.rng.sample(names, min(sample_size, len(names)))
         best = min(sample, key=self._reported_tokens)
@@ -134,11 +136,15 @@
         """Runs probe rounds until a grant, a final refusal or the deadline."""
         started_at = monotonic_s()
         last_refusal = refusal(
-            ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
+            ResultCode.NO_ENDPOINT,
+            ran=_execution_state(request),
+            retry_after_s=1,
         )
         while request.time_left_s() > 0:
             if self.strikes.is_refused(request.fingerprint):
-                return refusal(ResultCode.CRASHING_REQUEST, ran=_ran(request))
+                return refusal(
+                    ResultCode.CRASHING_REQUEST, ran=_execution_state(request)
+                )
             outcome = await self._run_probe_round(request, excluded, started_at)
             match outcome:
                 case HeldReservation():
@@ -157,14 +163,14 @@
     ) -> HeldReservation | FinalRefusal | Refusal:
         """Requests a reservation from owners in order of predicted wait.
 
-        Each request limits the wait to the one predicted for the next best
+        Each probe limits the wait to the one predicted for the next best
         endpoint, so that a stale hint costs one call but no queueing time. The
-        last request has no such limit and prefers endpoints with fresh hints.
+        last probe has no such limit and prefers endpoints with fresh hints.
         """
         refused_by: set[str] = set()
         last_refusal: Refusal | None = None
         for probe in range(_max_probes(request)):
-            names = self._candidates(request, excluded | refused_by)
+            names = self._rank_candidates(request, excluded | refused_by)
             if not names:
                 break
             limit_s = self._wait_limit_s(request, names)
@@ -177,7 +183,7 @@
                 return reply
             last_refusal = refusal(
                 ResultCode(reply.code),
-                ran=_ran(request),
+                ran=_execution_state(request),
                 retry_after_s=max(1.0, reply.retry_after_s),
             )
             if reply.code == ResultCode.PROMPT_TOO_LONG:
@@ -203,11 +209,13 @@
         ):
             return refusal(
                 ResultCode.ENDPOINT_COLD,
-                ran=_ran(request),
+                ran=_execution_state(request),
                 retry_after_s=COLD_RETRY_AFTER_S,
             )
         return refusal(
-            ResultCode.NO_ENDPOINT, ran=_ran(request), retry_after_s=1
+            ResultCode.NO_ENDPOINT,
+            ran=_execution_state(request),
+            retry_after_s=1,
         )
 
     def _exceeds_cold_limit(self, request: RoutedRequest, name: str) -> bool:
@@ -238,7 +246,7 @@
         self, request: RoutedRequest, excluded: set[str]
     ) -> bool:
         """Returns whether every predicted wait exceeds the time left."""
-        names = self._candidates(request, excluded)
+        names = self._rank_candidates(request, excluded)
         time_left_s = request.time_left_s()
         return all(
             self._predicted_wait_s(request, name) > time_left_s
@@ -259,7 +267,7 @@
             not in UNSCHEDULABLE_PHASES
         ]
 
-    def _candidates(
+    def _rank_candidates(
         self, request: RoutedRequest, excluded: set[str]
     ) -> list[str]:
         names = [
@@ -268,13 +276,13 @@
             if not self._exceeds_cold_limit(request, name)
         ]
         if self.strikes.has_strikes(request.fingerprint):
-            return self._rendezvous_order(request, names)
+            return self._sort_by_rendezvous_hash(request, names)
         self.rng.shuffle(names)
         return sorted(
             names, key=lambda name: self._predicted_wait_s(request, name)
         )
 
-    def _rendezvous_order(
+    def _sort_by_rendezvous_hash(
         self, request: RoutedRequest, names: list[str]
     ) -> list[str]:
         """Orders endpoints by rendezvous hashing on the fingerprint.
@@ -371,7 +379,7 @@
 def _max_probes(request: RoutedRequest) -> int:
     if request.length_class is LengthClass.LONG:
         return MAX_LONG_PROBES
-    return MAX_SHORT_PROBES
+    return MAX_PROBES
 
 
 def _penalty_s(request: RoutedRequest, hint: EndpointHint) -> float:
@@ -387,7 +395,7 @@
     return penalty_s
 
 
-def _ran(request: RoutedRequest) -> Ran:
+def _execution_state(request: RoutedRequest) -> Ran:
     return Ran.UNKNOWN if request.dispatched else Ran.NO
 
 
--- a/src/auburnswitch/routing/plain.py
+++ b/src/auburnswitch/routing/plain.py
@@ -179,7 +179,10 @@
             self.claims.drop(claim)
 
     async def _run_attempts(
-        self, request: RoutedRequest, call: PlainCall, send_deadline_at: float
+        self,
+        request: RoutedRequest,
+        call: PlainCall,
+        dispatch_deadline_at: float,
     ) -> PlainAnswer | Refusal:
         excluded: set[str] = set()
         unsent_attempts = 0
@@ -188,14 +191,14 @@
             async with asyncio.timeout_at(request.deadline_at):
                 while _may_attempt(request, unsent_attempts):
                     placement = await self._place(
-                        request, excluded, send_deadline_at
+                        request, excluded, dispatch_deadline_at
                     )
                     if isinstance(placement, Refusal):
                         return placement
                     request.attempts += 1
                     try:
                         return await self._attempt(
-                            request, call, placement, send_deadline_at
+                            request, call, placement, dispatch_deadline_at
                         )
                     except EndpointFailureError as error:
                         reason = str(error)
@@ -206,21 +209,27 @@
                     if not request.dispatched:
                         request.attempts -= 1  # no endpoint received it
         except TimeoutError:
-            return refusal(ResultCode.DEADLINE_EXCEEDED, ran=_ran(request))
-        return refusal(ResultCode.ENDPOINT_FAILED, reason, ran=_ran(request))
+            return refusal(
+                ResultCode.DEADLINE_EXCEEDED, ran=_execution_state(request)
+            )
+        return refusal(
+            ResultCode.ENDPOINT_FAILED, reason, ran=_execution_state(request)
+        )
 
     async def _place(
         self,
         request: RoutedRequest,
         excluded: set[str],
-        send_deadline_at: float,
+        dispatch_deadline_at: float,
     ) -> HeldReservation | Refusal:
-        if monotonic_s() < send_deadline_at:
+        if monotonic_s() < dispatch_deadline_at:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(send_deadline_at):
+                async with asyncio.timeout_at(dispatch_deadline_at):
                     return await self.placer.place(request, excluded)
         return refusal(
-            ResultCode.QUEUE_FULL, ran=_ran(request), retry_after_s=1
+            ResultCode.QUEUE_FULL,
+            ran=_execution_state(request),
+            retry_after_s=1,
         )
 
     async def _attempt(
@@ -228,7 +237,7 @@
         request: RoutedRequest,
         call: PlainCall,
         held: HeldReservation,
-        send_deadline_at: float,
+        dispatch_deadline_at: float,
     ) -> PlainAnswer:
         spec = self.placer.endpoint_manager.state.endpoints[held.endpoint]
         attempt = Attempt(
@@ -239,7 +248,7 @@
         begin_dispatch = self.placer.reservations.guard(held, attempt)
 
         def guard() -> None:
-            if monotonic_s() > send_deadline_at:
+            if monotonic_s() > dispatch_deadline_at:
                 raise DispatchTooLateError
             begin_dispatch()
             self._record_dispatch(request)
@@ -318,7 +327,7 @@
     )
 
 
-def _ran(request: RoutedRequest) -> Ran:
+def _execution_state(request: RoutedRequest) -> Ran:
     return Ran.UNKNOWN if request.dispatched else Ran.NO
 
 
--- a/src/auburnswitch/routing/prefill_planner.py
+++ b/src/auburnswitch/routing/prefill_planner.py
@@ -202,19 +202,21 @@
         for delayable in DelayablePrefills:
             for gap_share in (TARGET_GAP_SHARE, 1.0, math.inf):
                 found = self._find_plans(gap_share, delayable)
-                in_time = [plan for plan in found if self._is_in_time(plan)]
+                on_time_plans = [
+                    plan for plan in found if self._is_on_time(plan)
+                ]
                 no_interference = (
                     delayable is DelayablePrefills.NONE and gap_share <= 1.0
                 )
-                if in_time and no_interference:
-                    return min(in_time, key=_spread_cost_ms)
+                if on_time_plans and no_interference:
+                    return min(on_time_plans, key=_first_token_cost_ms)
                 plans += found
         return min(plans, key=self._plan_cost, default=None)
 
     def _has_memory(self, engine: EngineCandidate) -> bool:
         return engine.free_tokens >= self.tokens_per_engine
 
-    def _is_in_time(self, plan: PrefillPlan) -> bool:
+    def _is_on_time(self, plan: PrefillPlan) -> bool:
         return (
             plan.first_token_ms <= self.prompt.target_ms * TARGET_LATENCY_SHARE
         )
@@ -365,7 +367,7 @@
     )
 
 
-def _spread_cost_ms(plan: PrefillPlan) -> float:
+def _first_token_cost_ms(plan: PrefillPlan) -> float:
     return plan.first_token_ms + PART_PENALTY_MS * (len(plan.helpers) + 1)
 
 
--- a/src/auburnswitch/routing/retry_budget.py
+++ b/src/auburnswitch/routing/retry_budget.py
@@ -10,9 +10,7 @@
     from auburnswitch.schema.settings import RoutingSettings
 
 FLOOR_REFILL_S: Final = 60.0
-MAX_ACCUMULATED_REQUESTS: Final = (
-    1000  # requests whose unused shares accumulate
-)
+MAX_ACCUMULATED_REQUESTS: Final = 1000  # whose unused shares accumulate
 
 
 class RetryBudget:
--- a/src/auburnswitch/routing/send_rate_limiter.py
+++ b/src/auburnswitch/routing/send_rate_limiter.py
@@ -14,12 +14,10 @@
     from auburnswitch.schema.installation import Service
 
 WINDOW_S: Final = 1.1  # one second plus the arrival delay of a request
-FLEET_RATE_FRACTION: Final = (
-    0.6  # of the fleet's rate, since sends of others are reported late
-)
-UNSEEN_DAEMON_ALLOWANCE: Final = (
-    3  # daemons started but not yet known to this one
-)
+# Fraction of the fleet's rate, as sends of other daemons are reported late.
+FLEET_RATE_FRACTION: Final = 0.6
+# Daemons that have started but are not yet known to this one.
+UNSEEN_DAEMON_ALLOWANCE: Final = 3
 
 
 class SendRateLimiter:
@@ -54,12 +52,12 @@
             service.cold_requests_per_s * self.bounds.cold_ratio
             + self.bounds.cold_extra
         )
-        daemons = self.count_daemons() + UNSEEN_DAEMON_ALLOWANCE
+        daemon_count = self.count_daemons() + UNSEEN_DAEMON_ALLOWANCE
         local_sends = _count_recent(self._local_sends[endpoint])
         fleet_sends = _count_recent(self._fleet_sends[endpoint])
-        return local_sends + 1 <= max(1, int(fleet_rate_per_s / daemons)) and (
-            fleet_sends + 1 <= fleet_rate_per_s * FLEET_RATE_FRACTION
-        )
+        return local_sends + 1 <= max(
+            1, int(fleet_rate_per_s / daemon_count)
+        ) and (fleet_sends + 1 <= fleet_rate_per_s * FLEET_RATE_FRACTION)
 
     def record_send(self, endpoint: str) -> None:
         """Records a request that this daemon sends."""
--- a/src/auburnswitch/routing/strike_registry.py
+++ b/src/auburnswitch/routing/strike_registry.py
@@ -18,9 +18,8 @@
 ANNOUNCE_DURATION_S: Final = 3.0  # time that a strike is repeated to a peer
 
 CrashId = tuple[str, str]  # endpoint, boot id
-StrikeNotice = tuple[
-    str, CrashId, bool
-]  # fingerprint, crash, whether the strike is cleared
+# Fingerprint, crash, whether the strike is cleared.
+StrikeNotice = tuple[str, CrashId, bool]
 
 
 class StrikeRegistry:
@@ -84,8 +83,8 @@
         crashes = self.strike_times.get(fingerprint)
         if not crashes:
             return
-        oldest = monotonic_s() - self.retention_s
-        for crash in [c for c, at in crashes.items() if at < oldest]:
+        cutoff_at = monotonic_s() - self.retention_s
+        for crash in [c for c, at in crashes.items() if at < cutoff_at]:
             del crashes[crash]
         if not crashes:
             del self.strike_times[fingerprint]
--- a/src/auburnswitch/routing/team_limits.py
+++ b/src/auburnswitch/routing/team_limits.py
@@ -33,10 +33,10 @@
         available_tokens: Tokens available in the bucket.
         refilled_at: Loop time of the last refill, in seconds.
         in_flight: Requests of the team in flight at this daemon.
-        admitted: Total tokens that this daemon has admitted since its start.
+        admitted_tokens: Tokens admitted by this daemon since its start.
         peer_in_flight: Requests of the team in flight, by peer id.
-        interval: Number of the heartbeat interval that the fields below
-            describe.
+        interval_number: Number of the heartbeat interval that the fields
+            below describe.
         interval_tokens: Tokens admitted in the interval.
         interval_requests: Requests admitted in the interval.
         interval_start_tokens: Available tokens at the start of the interval.
@@ -45,10 +45,10 @@
     """
 
     __slots__ = (
-        "admitted",
+        "admitted_tokens",
         "available_tokens",
         "in_flight",
-        "interval",
+        "interval_number",
         "interval_requests",
         "interval_start_headroom",
         "interval_start_tokens",
@@ -61,16 +61,16 @@
         self.available_tokens = bucket_capacity(spec)
         self.refilled_at = monotonic_s()
         self.in_flight = 0
-        self.admitted = 0
+        self.admitted_tokens = 0
         self.peer_in_flight: dict[str, int] = {}
-        self.interval = -1
+        self.interval_number = -1
         self.interval_tokens = 0
         self.interval_requests = 0
         self.interval_start_tokens = 0.0
         self.interval_start_headroom = 0
 
     def start_interval(
-        self, spec: Team, interval: int, live_ids: set[str]
+        self, spec: Team, interval_number: int, live_ids: set[str]
     ) -> None:
         """Refills the bucket and starts a new interval when one is due."""
         now = monotonic_s()
@@ -82,8 +82,8 @@
         self.refilled_at = now
         for peer_id in self.peer_in_flight.keys() - live_ids:
             del self.peer_in_flight[peer_id]
-        if interval != self.interval:
-            self.interval = interval
+        if interval_number != self.interval_number:
+            self.interval_number = interval_number
             self.interval_tokens = 0
             self.interval_requests = 0
             self.interval_start_tokens = self.available_tokens
@@ -99,7 +99,7 @@
     def record_admission(self, tokens: int) -> None:
         """Records an admitted request."""
         self.available_tokens -= tokens
-        self.admitted += tokens
+        self.admitted_tokens += tokens
         self.in_flight += 1
         self.interval_tokens += tokens
         self.interval_requests += 1
@@ -148,7 +148,7 @@
         spec = self.state.teams.get(request.team)
         if spec is None:
             return refusal(ResultCode.BAD_CALLER_KEY)
-        meter = self._meter(request.team, spec)
+        meter = self._get_or_add_meter(request.team, spec)
         live_ids = set(self.view.live_ids())
         meter.start_interval(
             spec, int(monotonic_s() // self.interval_s), live_ids
@@ -173,7 +173,7 @@
         )
         elapsed_s = max(1e-3, now - reported_at)
         for team, meter in self.meters.items():
-            tokens = meter.admitted - reported_tokens.get(team, 0)
+            tokens = meter.admitted_tokens - reported_tokens.get(team, 0)
             if tokens or meter.in_flight:
                 heartbeat.usage.append(
                     TeamUsage(
@@ -183,7 +183,7 @@
                         in_flight=meter.in_flight,
                     )
                 )
-        admitted = {name: m.admitted for name, m in self.meters.items()}
+        admitted = {name: m.admitted_tokens for name, m in self.meters.items()}
         self.reported_usage[peer_id] = (now, admitted)
         for removed_peer in (
             self.reported_usage.keys() - self.view.peers.keys() - {peer_id}
@@ -199,11 +199,11 @@
             spec = self.state.teams.get(usage.team)
             if spec is None:
                 continue
-            meter = self._meter(usage.team, spec)
+            meter = self._get_or_add_meter(usage.team, spec)
             meter.peer_in_flight[peer_id] = usage.in_flight
             meter.available_tokens -= usage.tokens
 
-    def _meter(self, team: str, spec: Team) -> TeamMeter:
+    def _get_or_add_meter(self, team: str, spec: Team) -> TeamMeter:
         meter = self.meters.get(team)
         if meter is None:
             meter = self.meters[team] = TeamMeter(spec=spec)
@@ -219,10 +219,12 @@
 
 
 def _check_limits(
-    spec: Team, meter: TeamMeter, tokens: int, live_daemons: int
+    spec: Team, meter: TeamMeter, tokens: int, live_daemon_count: int
 ) -> Refusal | None:
     if spec.max_in_flight:
-        share = max(1, math.ceil(meter.interval_start_headroom / live_daemons))
+        share = max(
+            1, math.ceil(meter.interval_start_headroom / live_daemon_count)
+        )
         is_full = meter.total_in_flight >= spec.max_in_flight
         if is_full or meter.interval_requests >= share:
             return _limit_refusal(TEAM_LIMIT_RETRY_AFTER_S)
@@ -232,7 +234,10 @@
             wait_s = (needed - meter.available_tokens) / spec.tokens_per_second
             return _limit_refusal(min(MAX_RETRY_AFTER_S, wait_s))
         used = meter.interval_tokens
-        if used and used + tokens > meter.interval_start_tokens / live_daemons:
+        if (
+            used
+            and used + tokens > meter.interval_start_tokens / live_daemon_count
+        ):
             return _limit_refusal(TEAM_LIMIT_RETRY_AFTER_S)
     return None
 
