--- a/src/auburnswitch/claims/claim_store.py
+++ b/src/auburnswitch/claims/claim_store.py
@@ -55,7 +55,7 @@
 MAX_RECORDED_BYTES: Final = 4096
 DISPATCH_WINDOW_S: Final = 10.0
 CLAIM_TIMEOUT_S: Final = 5.0
-CACHED_SHARDS: Final = 64
+SHARDS_PER_EVICTION: Final = 64
 RECORD_TIMEOUT_S: Final = 1.0
 
 
@@ -66,7 +66,7 @@
 
 
 class ClaimStore:
-    """Claims idempotency keys, so that one request per key is dispatched.
+    """Claims idempotency keys, so that at most one request per key is sent.
 
     Attributes:
         store: Client of the platform's object store.
@@ -158,17 +158,19 @@
         Waits at most ``RECORD_TIMEOUT_S`` for the commit, which continues
         in the background.
         """
-        dropped = len(body) > MAX_RECORDED_BYTES
-        text = "" if dropped else base64.b64encode(body).decode("ascii")
-        done = claim_with_outcome(
+        body_dropped = len(body) > MAX_RECORDED_BYTES
+        encoded_body = (
+            "" if body_dropped else base64.b64encode(body).decode("ascii")
+        )
+        completed = claim_with_outcome(
             claim,
             state=ClaimState.DONE,
             status=status,
             content_type=content_type,
-            body=text,
-            body_dropped=dropped,
+            body=encoded_body,
+            body_dropped=body_dropped,
         )
-        pending = PendingChange(change=RecordOutcome(claim=done))
+        pending = PendingChange(change=RecordOutcome(claim=completed))
         if await self._forward(pending):
             return
         self._route(pending)
@@ -251,15 +253,15 @@
         key_hash = pending.change.claim.key_hash
         key = f"{CLAIMS_PREFIX}{root_shard(key_hash, self.shard_count):04d}"
         depth = 0
-        writer = self._writer(key, depth)
+        writer = self._get_or_add_writer(key, depth)
         while writer.split_into:
             bit = split_bit(key_hash, depth)
             key = child_key(key, writer.split_into, bit)
             depth += 1
-            writer = self._writer(key, depth)
+            writer = self._get_or_add_writer(key, depth)
         writer.submit(pending)
 
-    def _writer(self, key: str, depth: int) -> ShardWriter:
+    def _get_or_add_writer(self, key: str, depth: int) -> ShardWriter:
         writer = self.writers.get(key)
         if writer is None:
             self._evict_idle_shards()
@@ -277,7 +279,7 @@
         return writer
 
     def _evict_idle_shards(self) -> None:
-        if len(self.writers) % CACHED_SHARDS:
+        if len(self.writers) % SHARDS_PER_EVICTION:
             return
         for writer in self.writers.values():
             if writer.task is None or writer.task.done():
--- a/src/auburnswitch/claims/shard.py
+++ b/src/auburnswitch/claims/shard.py
@@ -107,15 +107,15 @@
         """Applies a change; its outcome is valid once the shard is stored."""
         claim = change.claim
         stored = self.claims.get(claim.key_hash)
-        owned = stored is not None and stored["nonce"] == claim.nonce
+        is_own_claim = stored is not None and stored["nonce"] == claim.nonce
         match change:
             case AddClaim() if stored is not None:
                 return _outcome_of_stored(claim, stored)
             case DropClaim():
                 self.dirty = True  # a new version makes writes in flight fail
-                if owned and stored.get("state") not in _FINAL_STATES:
+                if is_own_claim and stored.get("state") not in _FINAL_STATES:
                     del self.claims[claim.key_hash]
-            case RecordOutcome() if not owned:
+            case RecordOutcome() if not is_own_claim:
                 pass
             case _:
                 self.dirty = True
--- a/src/auburnswitch/configuration/installation_watcher.py
+++ b/src/auburnswitch/configuration/installation_watcher.py
@@ -46,8 +46,8 @@
     """Keeps the installation up to date with the store.
 
     Attributes:
-        read_at: Loop time of the last read of the kind that was read least
-            recently, in seconds; None until every kind has been read.
+        read_at: Loop time as of which all kinds are up to date, in seconds;
+            None until every kind has been read.
         is_reader: Returns whether this daemon has to read the store now.
         failed_at: Loop time since which calls have failed, in seconds; None
             while they succeed.
@@ -87,7 +87,7 @@
         return min(self._read_at.values())
 
     async def watch_kind(self, kind: str) -> None:
-        """Lists a kind, then watches it for changes, forever.
+        """Lists a kind, then watches it for changes until cancelled.
 
         While calls fail, only the first kind is retried, at growing intervals.
         """
--- a/src/auburnswitch/configuration/state.py
+++ b/src/auburnswitch/configuration/state.py
@@ -37,8 +37,8 @@
         zones: Availability zones in force, by name.
         services: Services in force, by name.
         endpoints: Endpoints in force, by name.
-        dangling_endpoints: Reason why an endpoint is left out, namely that its
-            service or zone is missing, by the endpoint's name.
+        dangling_endpoints: Reason why each endpoint with a missing service or
+            zone is left out, by the endpoint's name.
         team_by_key_digest: Team name by caller-key digest.
         digest: Digest of the state; equal states have equal digests.
         listeners: Callbacks that run after each change of the state.
@@ -82,7 +82,7 @@
         return self._finish_join(any(changed))
 
     def has_joined(self, ticket: Ticket) -> bool:
-        """Returns whether a ticket or newer changes of its objects apply."""
+        """Returns whether a ticket, or newer changes, have been joined."""
         keys = [(ObjectKind(c.kind), c.name) for c in ticket.changes]
         return all(
             self._joined_numbers.get(key, 0) >= ticket.number for key in keys
--- a/src/auburnswitch/configuration/ticket_poller.py
+++ b/src/auburnswitch/configuration/ticket_poller.py
@@ -24,7 +24,7 @@
 
 
 class TicketPoller:
-    """Polls the published tickets in one of the daemons.
+    """Polls the published tickets from one of the daemons.
 
     Polling finds a ticket that watches miss after the daemon that accepted it
     has terminated; the other daemons receive it from their peers. When there
@@ -50,7 +50,7 @@
         self.is_poller = is_poller
 
     async def run(self) -> None:
-        """Polls forever."""
+        """Polls until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             if self.is_poller():
