--- a/tests/configuration/test_config_diff.py
+++ b/tests/configuration/test_config_diff.py
@@ -23,7 +23,7 @@
 )
 
 
-def config(version, routes, keys):
+def make_config(version, routes, keys):
     return InstallationConfig(
         version=version,
         routes=[
@@ -41,7 +41,10 @@
     def test_applied_changes_give_the_new_version(
         self, old, new, old_keys, new_keys
     ):
-        before, after = config(1, old, old_keys), config(2, new, new_keys)
+        before, after = (
+            make_config(1, old, old_keys),
+            make_config(2, new, new_keys),
+        )
         updated = apply_config_changes(before, diff_configs(before, after))
         self.assertEqual(updated.version, 2)
         self.assertEqual(updated.teams, after.teams)
@@ -50,16 +53,16 @@
         self.assertEqual({r.name: r for r in updated.routes}, by_name)
 
     def test_only_changed_routes_are_included(self):
-        before = config(1, dict.fromkeys("abcdef", 1), 1)
-        after = config(2, {**dict.fromkeys("abcde", 1), "b": 2}, 1)
+        before = make_config(1, dict.fromkeys("abcdef", 1), 1)
+        after = make_config(2, {**dict.fromkeys("abcde", 1), "b": 2}, 1)
         changes = diff_configs(before, after)
         self.assertEqual([r.name for r in changes.changed], ["b"])
         self.assertEqual(changes.removed, ["f"])
         self.assertEqual(changes.rest.routes, [])
 
     def test_duplicate_route_names_give_no_changes(self):
-        before = config(1, {"a": 1}, 1)
-        after = config(2, {"a": 1}, 1)
+        before = make_config(1, {"a": 1}, 1)
+        after = make_config(2, {"a": 1}, 1)
         after.routes.append(Route(name="a", host="other"))
         self.assertIsNone(diff_configs(before, after))
 
--- a/tests/configuration/test_spread.py
+++ b/tests/configuration/test_spread.py
@@ -20,7 +20,7 @@
 from auburnswitch.schema.results import ResultCode
 from tests.virtual_time import SimulatedConnector, run_virtual
 
-MAX_TIME_TO_FORCE_S = 8.0
+MAX_TIME_UNTIL_IN_FORCE_S = 8.0
 
 
 class PropagationTest(unittest.TestCase):
@@ -38,7 +38,7 @@
                 took_s = run_virtual(
                     lambda fault=fault, before=before: scenario(fault, before)
                 )
-                self.assertLess(took_s, MAX_TIME_TO_FORCE_S)
+                self.assertLess(took_s, MAX_TIME_UNTIL_IN_FORCE_S)
 
 
 class OutageTest(unittest.TestCase):
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -22,26 +22,28 @@
 NAMES = st.sampled_from(["a", "b", "c"])
 
 
-def zone(name: str, *, out: bool = False, deleted: bool = False) -> Change:
+def zone_change(
+    name: str, *, out: bool = False, deleted: bool = False
+) -> Change:
     value = None if deleted else AvailabilityZone(out=out)
     kind = ObjectKind.AVAILABILITY_ZONE
     return Change(kind=kind, name=name, deleted=deleted, zone=value)
 
 
-def endpoint(name: str, service: str, zone_name: str) -> Change:
+def endpoint_change(name: str, service: str, zone_name: str) -> Change:
     value = Endpoint(service=service, zone=zone_name, host="10.0.0.1", port=1)
     return Change(kind=ObjectKind.ENDPOINT, name=name, endpoint=value)
 
 
-def service(name: str) -> Change:
+def service_change(name: str) -> Change:
     return Change(kind=ObjectKind.SERVICE, name=name, service=Service())
 
 
 CHANGES = st.one_of(
-    st.builds(zone, NAMES, out=st.booleans()),
-    st.builds(zone, NAMES, deleted=st.just(True)),
-    st.builds(service, NAMES),
-    st.builds(endpoint, NAMES, NAMES, NAMES),
+    st.builds(zone_change, NAMES, out=st.booleans()),
+    st.builds(zone_change, NAMES, deleted=st.just(True)),
+    st.builds(service_change, NAMES),
+    st.builds(endpoint_change, NAMES, NAMES, NAMES),
 )
 TICKETS = st.lists(
     st.lists(CHANGES, min_size=1, max_size=4), min_size=1, max_size=8
@@ -81,31 +83,43 @@
 
     def test_lower_number_after_higher(self):
         state = ConfigState()
-        state.join_ticket(Ticket(number=5, changes=[zone("a", out=True)]))
         state.join_ticket(
-            Ticket(number=3, changes=[zone("a"), zone("b", out=True)])
+            Ticket(number=5, changes=[zone_change("a", out=True)])
+        )
+        state.join_ticket(
+            Ticket(
+                number=3, changes=[zone_change("a"), zone_change("b", out=True)]
+            )
         )
         self.assertTrue(state.zones["a"].out)
         self.assertTrue(state.zones["b"].out)
-        state.join_ticket(Ticket(number=7, changes=[zone("a", deleted=True)]))
-        state.join_ticket(Ticket(number=6, changes=[zone("a")]))
+        state.join_ticket(
+            Ticket(number=7, changes=[zone_change("a", deleted=True)])
+        )
+        state.join_ticket(Ticket(number=6, changes=[zone_change("a")]))
         self.assertNotIn("a", state.zones)
 
     def test_state_that_reverts_is_reported(self):
         state = ConfigState(invariants=Invariants(strict=True))
-        state.join_ticket(Ticket(number=5, changes=[zone("a", out=True)]))
+        state.join_ticket(
+            Ticket(number=5, changes=[zone_change("a", out=True)])
+        )
         state.entries.clear()
         with self.assertRaises(InvariantError):
-            state.join_ticket(Ticket(number=3, changes=[zone("a")]))
+            state.join_ticket(Ticket(number=3, changes=[zone_change("a")]))
 
 
 class RaceTest(unittest.TestCase):
     def test_references_broken_by_a_race_are_left_out(self):
         state = ConfigState()
-        first = [zone("a"), zone("b"), service("s")]
+        first = [zone_change("a"), zone_change("b"), service_change("s")]
         state.join_ticket(Ticket(number=1, changes=first))
-        drop = Ticket(number=2, author="x", changes=[zone("a", deleted=True)])
-        add = Ticket(number=3, author="x", changes=[endpoint("e", "s", "a")])
+        drop = Ticket(
+            number=2, author="x", changes=[zone_change("a", deleted=True)]
+        )
+        add = Ticket(
+            number=3, author="x", changes=[endpoint_change("e", "s", "a")]
+        )
         for ticket in (drop, add):  # both are checked before either is joined
             self.assertEqual(validate_ticket(ticket, state).errors, [])
         state.join_ticket(drop)
@@ -113,18 +127,26 @@
         self.assertEqual(state.endpoints, {})
         self.assertIn("e", state.dangling_endpoints)
 
-        other = Ticket(number=4, author="x", changes=[zone("b", out=True)])
+        other = Ticket(
+            number=4, author="x", changes=[zone_change("b", out=True)]
+        )
         report = validate_ticket(other, state)
         self.assertEqual(report.errors, [])
         self.assertIn("left out", report.warnings[0])
         again = Ticket(number=5, author="x", changes=add.changes)
         self.assertIn("unknown zone", validate_ticket(again, state).errors[0])
-        state.join_ticket(Ticket(number=6, changes=[zone("a")]))
+        state.join_ticket(Ticket(number=6, changes=[zone_change("a")]))
         self.assertIn("e", state.endpoints)
 
     def test_deletion_of_an_object_in_use_is_refused(self):
         state = ConfigState()
-        changes = [zone("a"), service("s"), endpoint("e", "s", "a")]
+        changes = [
+            zone_change("a"),
+            service_change("s"),
+            endpoint_change("e", "s", "a"),
+        ]
         state.join_ticket(Ticket(number=1, changes=changes))
-        ticket = Ticket(number=2, author="x", changes=[zone("a", deleted=True)])
+        ticket = Ticket(
+            number=2, author="x", changes=[zone_change("a", deleted=True)]
+        )
         self.assertIn("unknown zone", validate_ticket(ticket, state).errors[0])
--- a/tests/configuration/test_tickets.py
+++ b/tests/configuration/test_tickets.py
@@ -22,7 +22,7 @@
 from auburnswitch.schema.results import Ran, ResultCode
 from auburnswitch.schema.settings import PlatformSettings
 from auburnswitch.standins.platform import open_platform
-from tests.configuration.test_state import zone
+from tests.configuration.test_state import zone_change
 from tests.virtual_time import open_session, run_virtual
 
 
@@ -59,9 +59,9 @@
         async def scenario():
             async with open_nodes(2) as (platform, (first, second)):
                 one, again, other = await asyncio.gather(
-                    first.accept(1, zone("a")),
-                    second.accept(1, zone("a")),
-                    second.accept(1, zone("a", out=True)),
+                    first.accept(1, zone_change("a")),
+                    second.accept(1, zone_change("a")),
+                    second.accept(1, zone_change("a", out=True)),
                 )
                 return one, again, other, len(platform.store.objects)
 
@@ -73,7 +73,7 @@
     def test_error_for_large_ticket_states_size_and_limit(self):
         async def scenario():
             async with open_nodes(max_value_bytes=2000) as (_, (node,)):
-                changes = [zone(f"z{n}") for n in range(100)]
+                changes = [zone_change(f"z{n}") for n in range(100)]
                 return (await node.accept(1, *changes)).error
 
         error = run_virtual(scenario)
@@ -83,9 +83,11 @@
     def test_each_fault_at_each_step(self):
         async def scenario(fault: str, step: int):
             async with open_nodes(2) as (platform, (node, other)):
-                await node.accept(1, zone("a"))
+                await node.accept(1, zone_change("a"))
                 platform.delay_s = 0.1
-                task = asyncio.create_task(node.accept(2, zone("a", out=True)))
+                task = asyncio.create_task(
+                    node.accept(2, zone_change("a", out=True))
+                )
                 await asyncio.sleep(0.05 * step)
                 value = 2 if fault == "lose_answers" else True
                 setattr(platform, fault, value)
@@ -97,7 +99,7 @@
                     for prefix in (TICKETS_PREFIX, PUBLISHED_PREFIX)
                 ]
                 await asyncio.sleep(3)
-                again = await other.accept(2, zone("a", out=True))
+                again = await other.accept(2, zone_change("a", out=True))
                 await node.poller.poll()
                 return outcome, written, again, node.state.zones["a"].out
 
@@ -120,15 +122,15 @@
         async def scenario():
             async with open_nodes(3) as (platform, (first, second, new_node)):
                 for number in range(10, 50):
-                    zones = zone(f"z{number % 7}", out=number % 2 == 0)
+                    zones = zone_change(f"z{number % 7}", out=number % 2 == 0)
                     await first.accept(number, zones)
                 await asyncio.gather(first.poller.poll(), second.poller.poll())
                 published_count = len(
                     platform.store.list_objects(PUBLISHED_PREFIX)
                 )
-                lower = await second.accept(5, zone("low", out=True))
-                reused = await second.accept(10, zone("z3"))
-                repeated = await second.accept(11, zone("z4"))
+                lower = await second.accept(5, zone_change("low", out=True))
+                reused = await second.accept(10, zone_change("z3"))
+                repeated = await second.accept(11, zone_change("z4"))
                 await new_node.watcher._list()
                 await first.poller.poll()
                 await second.watcher._list()
@@ -156,7 +158,7 @@
             async with open_nodes(3) as (_, (first, second, new_node)):
                 for node, start in ((first, 1), (second, 100)):
                     for number in range(start, start + 35):
-                        await node.accept(number, zone(f"z{number}"))
+                        await node.accept(number, zone_change(f"z{number}"))
                     await node.poller.poll()
                 await new_node.watcher._list()
                 return len(new_node.state.zones)
@@ -167,21 +169,21 @@
         async def scenario(delay_s: float):
             async with open_nodes(2) as (platform, (first, second)):
                 for number in range(10, 50):
-                    await first.accept(number, zone("a"))
+                    await first.accept(number, zone_change("a"))
                 platform.delay_s = 0.05
                 task = asyncio.create_task(first.poller.poll())
                 await asyncio.sleep(delay_s)
-                await second.accept(1, zone("b", out=True))
-                await second.accept(60, zone("a", out=True))
+                await second.accept(1, zone_change("b", out=True))
+                await second.accept(60, zone_change("a", out=True))
                 await task
                 fresh = Node(platform.url, first.store.session)
                 await fresh.watcher._list()
                 zones = fresh.state.zones
                 return zones["a"].out, zones["b"].out
 
-        for tenths in range(0, 8):
-            with self.subTest(tenths=tenths):
-                found = run_virtual(lambda t=tenths: scenario(t / 20))
+        for step in range(0, 8):
+            with self.subTest(step=step):
+                found = run_virtual(lambda t=step: scenario(t / 20))
                 self.assertEqual(found, (True, True))
 
 
@@ -197,7 +199,7 @@
                 restore = fault(platform, node)
                 await asyncio.sleep(1)
                 calls = platform.calls["watch"]
-                await writer.accept(1, zone("a"))
+                await writer.accept(1, zone_change("a"))
                 await asyncio.sleep(8)
                 calls = platform.calls["watch"] - calls
                 restore()
--- a/tests/configuration/test_version_model.py
+++ b/tests/configuration/test_version_model.py
@@ -41,12 +41,12 @@
     restarts: int = 0
 
 
-def config(version: int) -> InstallationConfig:
+def make_config(version: int) -> InstallationConfig:
     routes = [Route(name=name, host="h") for name in CONFIGS[version]]
     return InstallationConfig(version=version, routes=routes)
 
 
-def entry_list(revision: int, entries: dict[str, int]) -> EndpointList:
+def make_entry_list(revision: int, entries: dict[str, int]) -> EndpointList:
     return EndpointList(
         revision=revision,
         endpoints=[
@@ -72,10 +72,10 @@
     def messages(self):
         for version in range(1, NEWEST + 1):
             yield lambda installation, v=version: installation.adopt_config(
-                config(v), SOURCE
+                make_config(v), SOURCE
             )
             for since in range(1, version):
-                changes = diff_configs(config(since), config(version))
+                changes = diff_configs(make_config(since), make_config(version))
                 yield (
                     lambda installation, c=changes: (
                         installation.adopt_config_changes(c, SOURCE)
@@ -102,12 +102,12 @@
     ) -> None:
         if version:
             installation.adopt_endpoints(
-                entry_list(version, dict(content)), SOURCE
+                make_entry_list(version, dict(content)), SOURCE
             )
 
     def messages(self):
         for version in range(1, NEWEST + 1):
-            listed = entry_list(version, ENTRIES[version])
+            listed = make_entry_list(version, ENTRIES[version])
             yield lambda installation, e=listed: installation.adopt_endpoints(
                 e, SOURCE
             )
@@ -134,7 +134,7 @@
         return EndpointChanges(
             since_revision=since,
             revision=version,
-            changed=entry_list(version, present).endpoints,
+            changed=make_entry_list(version, present).endpoints,
             removed=sorted(changed_names - now.keys()),
         )
 
@@ -157,11 +157,13 @@
         version, content = state.versions[number], state.contents[number]
         model.restore(installation, version, content)
         message(installation)
-        return changed(
+        return replace_daemon(
             state, number, model.read(installation), state.versions[number]
         )
 
-    def changed(state: Daemons, number: int, read, before: int) -> Daemons:
+    def replace_daemon(
+        state: Daemons, number: int, read, before: int
+    ) -> Daemons:
         versions, contents = [*state.versions], [*state.contents]
         previous_versions = [*state.previous_versions]
         versions[number], contents[number] = read
@@ -179,10 +181,12 @@
             other = 1 - number
             peer_state = state.versions[other], state.contents[other]
             yield step(
-                state, number, lambda k, t=peer_state: model.restore(k, *t)
+                state,
+                number,
+                lambda i, peer=peer_state: model.restore(i, *peer),
             )
             if state.restarts < 2:
-                restarted = changed(state, number, (0, model.initial), 0)
+                restarted = replace_daemon(state, number, (0, model.initial), 0)
                 yield restarted._replace(restarts=state.restarts + 1)
 
     def check(state: Daemons) -> None:
--- a/tests/routing/test_crash_detector.py
+++ b/tests/routing/test_crash_detector.py
@@ -27,7 +27,7 @@
 UNLOADED_LATENCY_S = 2.7  # 100 tokens at 25 ms and a prefill of 2,000 tokens
 
 
-def options():
+def make_options():
     return FleetOptions(
         engines=6,
         daemons=3,
@@ -44,7 +44,7 @@
     return await stream_completion(fleet.session, url, body, AUTHORIZATION)
 
 
-def crashes(fleet):
+def crash_records(fleet):
     return [
         record
         for record in fleet.history.records
@@ -55,7 +55,7 @@
 class CrashingRequestTest(unittest.TestCase):
     def run_beside_other_requests(self, crash):
         async def scenario():
-            async with open_fleet(options()) as fleet:
+            async with open_fleet(make_options()) as fleet:
                 await warm_up(fleet)
                 others = [
                     asyncio.create_task(
@@ -71,7 +71,7 @@
                 return (
                     [o.result for o in outcomes],
                     [o.result for o in finished],
-                    [record.fields["cause"] for record in crashes(fleet)],
+                    [record.fields["cause"] for record in crash_records(fleet)],
                 )
 
         return run_virtual(scenario)
@@ -90,7 +90,7 @@
         async def crash(fleet):
             prompt = f"{CRASH_MARKER} ".ljust(80_000, ".")  # 1 s of prefill
             first = asyncio.create_task(send_completion(fleet, 0, prompt))
-            while not crashes(fleet):
+            while not crash_records(fleet):
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.2)
             copies = [send_completion(fleet, n, prompt) for n in range(3)]
@@ -101,9 +101,9 @@
         self.assertEqual(others, ["ok"] * OTHER_REQUESTS)
         self.assertEqual(causes, ["prompt"] * 2)
 
-    def test_popular_request_keeps_running_after_a_crash(self):
+    def test_request_of_many_callers_keeps_running_after_a_crash(self):
         async def scenario():
-            async with open_fleet(options()) as fleet:
+            async with open_fleet(make_options()) as fleet:
                 await warm_up(fleet)
                 prompt = "free slots today? ".ljust(8_000, ".")
                 first_calls = [
--- a/tests/routing/test_crash_registry.py
+++ b/tests/routing/test_crash_registry.py
@@ -38,9 +38,8 @@
             local.record_crash("request", f"engine-{number}")
         peer.merge_peer_crashes(local.recent_local_crashes())
         self.assertTrue(peer.is_refused("request"))
-        self.assertEqual(
-            peer.recent_local_crashes(), []
-        )  # only the observing daemon announces
+        # Only the daemon that observed a crash announces it.
+        self.assertEqual(peer.recent_local_crashes(), [])
 
     @in_virtual_loop
     def test_memory_is_bounded(self):
--- a/tests/routing/test_group_placer.py
+++ b/tests/routing/test_group_placer.py
@@ -23,12 +23,12 @@
 
 AUTHORIZATION = {"Authorization": f"Bearer {CALLER_KEY}"}
 MEMORY_TOKENS = 50_000  # a tenth of an engine's, to keep prompts small
-TOKENS = 100_000
+PROMPT_TOKENS = 100_000
 ANSWER_TOKENS = 8
 CLEANUP_WAIT_S = 20.0
 
 
-async def request_completion(fleet, tokens=TOKENS, number=0):
+async def request_completion(fleet, tokens=PROMPT_TOKENS, number=0):
     body = {
         "model": MODEL,
         "prompt": f"{number} ".ljust(4 * tokens, "."),
@@ -88,9 +88,7 @@
     def test_engine_crash_during_prefill_releases_all_reservations(self):
         async def scenario(fleet):
             call = asyncio.create_task(request_completion(fleet))
-            await asyncio.sleep(
-                2.5
-            )  # an engine is prefilling the second segment
+            await asyncio.sleep(2.5)  # the second segment is being prefilled
             busy_engines = [e for e in fleet.engines.values() if e.batch.jobs()]
             busy_engines[0].crash()
             return len(busy_engines), (await call).result
--- a/tests/routing/test_joint_prefills.py
+++ b/tests/routing/test_joint_prefills.py
@@ -20,7 +20,7 @@
 from tests.routing.test_placement_wait import (
     TARGET_S,
     make_job,
-    open_selector,
+    make_selector,
 )
 from tests.virtual_time import run_virtual
 
@@ -87,7 +87,7 @@
 
 async def run_burst() -> list[float]:
     """Returns the times to first token of a burst of prompts, in seconds."""
-    selector, engines = open_selector(ENGINES), NewestFirstEngines()
+    selector, engines = make_selector(ENGINES), NewestFirstEngines()
     engine_task = asyncio.create_task(engines.run())
     rng = random.Random(3)
     tasks = []
--- a/tests/routing/test_memory_model.py
+++ b/tests/routing/test_memory_model.py
@@ -102,7 +102,7 @@
             undelivered = state._replace(calls=state.calls - {call})
             yield from self._deliver(undelivered, call)
         for number in DAEMONS:
-            yield from self._act_daemon(state, number)
+            yield from self._step_daemon(state, number)
         if not state.calls and not any(map(_must_act, state.requesters)):
             yield self._tick(state)
 
@@ -129,7 +129,7 @@
         after = requester._replace(granted=tuple(granted_by_engine))
         return _with_requester(state, call.daemon, after)
 
-    def _act_daemon(self, state: Model, number: int):
+    def _step_daemon(self, state: Model, number: int):
         requester = state.requesters[number]
         match requester.phase:
             case "idle":
--- a/tests/routing/test_placement_wait.py
+++ b/tests/routing/test_placement_wait.py
@@ -56,7 +56,7 @@
         pass
 
 
-def open_selector(engines: int, instance: str = "a") -> EndpointSelector:
+def make_selector(engines: int, instance: str = "a") -> EndpointSelector:
     installation = OpenEndpoints(engines)
     return EndpointSelector(
         instance=instance,
@@ -97,7 +97,7 @@
         async def run():
             decode_engines = set()
             for number in range(12):
-                selector = open_selector(20, f"entry-{number}")
+                selector = make_selector(20, f"entry-{number}")
                 placement = selector.select(make_job(tokens))
                 decode_engines.add(placement.endpoint.entry.id)
             return decode_engines
@@ -116,7 +116,7 @@
         """Returns the placement or None, and the time waited in seconds."""
 
         async def run():
-            selector = open_selector(engines)
+            selector = make_selector(engines)
             if full:
                 for endpoint in selector.installation.endpoint_list:
                     report = EngineReport(unknown_tokens=MODEL.memory_tokens)
@@ -147,9 +147,7 @@
             self.assertIsNone(placement)
             self.assertEqual(took_s, 0)
 
-    def test_prompt_with_too_long_prefill_is_refused_immediately(
-        self,
-    ):
+    def test_prompt_with_too_long_prefill_is_refused_immediately(self):
         placement, took_s = self.wait(13, 300_000, time_left_s=0.5)
         self.assertIsNone(placement)
         self.assertEqual(took_s, 0)
--- a/tests/routing/test_plain.py
+++ b/tests/routing/test_plain.py
@@ -224,7 +224,7 @@
 class StoreFaultTest(unittest.TestCase):
     """Injects each fault at each step: layout, claim, dispatch and record."""
 
-    async def run_with_fault(self, fault, start_s: float, last_s: float):
+    async def run_with_fault(self, fault, start_s: float, duration_s: float):
         async with open_bench(routers=2) as bench:
             first, second = bench.routers
             bench.platform.delay_s = 0.1
@@ -232,7 +232,7 @@
             task = asyncio.create_task(bench.run(first, deadline_s=30))
             await asyncio.sleep(start_s)
             fault(bench.platform, True)
-            await asyncio.sleep(last_s)
+            await asyncio.sleep(duration_s)
             fault(bench.platform, False)
             outcome = await task
             ran = list(bench.service.run_ids)
@@ -240,9 +240,9 @@
             repeated = await bench.run(second)
             return outcome, ran, repeated, bench.service.run_ids
 
-    def check(self, fault, start_s: float, last_s: float):
+    def check(self, fault, start_s: float, duration_s: float):
         outcome, ran, repeated, run_ids = run_virtual(
-            lambda: self.run_with_fault(fault, start_s, last_s)
+            lambda: self.run_with_fault(fault, start_s, duration_s)
         )
         self.assertEqual(len(run_ids), 1)
         self.assertEqual(repeated.status, 201)
--- a/tests/routing/test_prefill_planner.py
+++ b/tests/routing/test_prefill_planner.py
@@ -245,7 +245,7 @@
     """Returns the share of short prompts predicted to meet their target."""
     rng = random.Random(7)
     pool = EnginePool(12)
-    in_time = short_count = 0
+    on_time_count = short_count = 0
     for _ in range(60):
         await asyncio.sleep(0.05)
         prompt = SHORT_PROMPT if rng.random() < 0.85 else LONG_PROMPT
@@ -256,8 +256,8 @@
             first_token_ms = _place_least_pending(pool, prompt)
         if prompt is SHORT_PROMPT:
             short_count += 1
-            in_time += first_token_ms <= SHORT_PROMPT.target_ms
-    return in_time / short_count
+            on_time_count += first_token_ms <= SHORT_PROMPT.target_ms
+    return on_time_count / short_count
 
 
 def _place_least_pending(pool: EnginePool, prompt: PromptRequirements) -> float:
--- a/tests/routing/test_team_limits.py
+++ b/tests/routing/test_team_limits.py
@@ -65,7 +65,7 @@
             await asyncio.sleep(INTERVAL_S)
 
 
-def request(tokens):
+def make_request(tokens):
     return RoutedRequest(
         id="r",
         team="t",
@@ -104,7 +104,7 @@
                 ended[1].finish(ended[2])
                 running -= 1
             limits = rng.choice(daemons.limits)
-            routed = request(rng.randint(1, tokens))
+            routed = make_request(rng.randint(1, tokens))
             refused = limits.admit(routed)
             if refused is not None:
                 refusals.append(refused)
