--- a/src/auburnswitch/routing/attempt.py
+++ b/src/auburnswitch/routing/attempt.py
@@ -35,7 +35,7 @@
     """Sends a request to the endpoint of a placement and relays the answer.
 
     Attributes:
-        selector: Tracks the queued and running requests of endpoints.
+        selector: Tracks the load of endpoints.
         statistics: Records latencies.
         job: The request to send.
         placement: The endpoint chosen for the request.
--- a/src/auburnswitch/routing/attempt_timeouts.py
+++ b/src/auburnswitch/routing/attempt_timeouts.py
@@ -10,7 +10,7 @@
 
 MIN_FIRST_EVENT_TIMEOUT_S: Final = 1.0
 FIRST_EVENT_TARGET_FACTOR: Final = 2.0  # multiple of the target latency
-FIRST_EVENT_PREDICTION_FACTOR: Final = 2.5
+FIRST_EVENT_PREDICTION_FACTOR: Final = 2.5  # multiple of the predicted time
 GAP_TARGET_FACTOR: Final = 4.0  # multiple of the target gap between events
 # Fraction of the time left, for an attempt that is not the last.
 IDEMPOTENT_TIMEOUT_FRACTION: Final = 0.35
--- a/src/auburnswitch/routing/endpoint_health.py
+++ b/src/auburnswitch/routing/endpoint_health.py
@@ -10,7 +10,7 @@
 from auburnswitch.schema.events import EventId
 
 SUSPECT_SCORE: Final = 1.5
-SUCCESS_FACTOR: Final = 0.6
+SUCCESS_FACTOR: Final = 0.6  # of the score, which a success lowers
 HARD_FAILURE_WEIGHT: Final = 1.0  # no answer, or a broken one
 SOFT_FAILURE_WEIGHT: Final = 0.5  # the endpoint answered with an error
 HALF_LIFE_S: Final = 2.0
--- a/src/auburnswitch/routing/endpoint_selector.py
+++ b/src/auburnswitch/routing/endpoint_selector.py
@@ -79,7 +79,8 @@
         load: Work of all daemons on each endpoint.
         health: Tracks failures and suspected endpoints.
         rates: Limits the rate of requests to cold endpoints.
-        group: Returns the group of daemons that prefer the same engines.
+        group: Returns the id of this daemon's group, whose daemons prefer the
+            same engines.
         cells: Endpoints that this daemon prefers in a large fleet.
         on_change: Called with the items that have started and the ids of the
             items that have ended.
--- a/src/auburnswitch/routing/memory_reservations.py
+++ b/src/auburnswitch/routing/memory_reservations.py
@@ -37,7 +37,7 @@
 
 
 class MemoryReservations:
-    """Makes, renews and releases reservations, all or none for a prompt.
+    """Reserves and renews memory on all holders of a prompt, or on none.
 
     Attributes:
         endpoint_client: Client for calls to endpoints.
--- a/src/auburnswitch/routing/placement_wait.py
+++ b/src/auburnswitch/routing/placement_wait.py
@@ -20,7 +20,9 @@
 MIN_YIELD_TARGET_S: Final = 1.0
 MAX_YIELD_TARGET_RATIO: Final = 1.3
 MAX_YIELD_TIME_SHARE: Final = 0.3  # of the time left to the deadline
-YIELD_FIRST_TOKEN_SHARE: Final = 0.8  # of the remaining target latency
+# Of the remaining target latency; a request with a later first token doesn't
+# yield to the ones it would delay.
+YIELD_FIRST_TOKEN_SHARE: Final = 0.8
 DEADLINE_SAFETY_FACTOR: Final = 1.25  # of the predicted first-token time
 
 
--- a/src/auburnswitch/routing/placer.py
+++ b/src/auburnswitch/routing/placer.py
@@ -46,7 +46,7 @@
 FRESH_HINT_MAX_AGE_S: Final = 0.05
 # Seconds of wait that may have built up per second of a hint's age.
 STALENESS_PENALTY_S_PER_S: Final = 0.2
-STALENESS_MAX_AGE_S: Final = 1.0
+STALENESS_MAX_AGE_S: Final = 1.0  # from which the penalty stays constant
 UNKNOWN_PHASE_PENALTY_S: Final = 0.5
 FULL_PENALTY_S: Final = 1.0
 MAX_PROBES: Final = 4  # per round, for a short or medium prompt
--- a/src/auburnswitch/routing/stream_relay.py
+++ b/src/auburnswitch/routing/stream_relay.py
@@ -33,7 +33,7 @@
     """Relays the events of one attempt.
 
     Attributes:
-        selector: Tracks the load of endpoints; updated after prefill.
+        selector: Tracks the load of endpoints; told when the prefill ends.
         statistics: Records the time to the first event.
         job: The request.
         placement: The endpoint chosen for the request.
--- a/tests/routing/test_crash_registry.py
+++ b/tests/routing/test_crash_registry.py
@@ -1,4 +1,4 @@
-"""Tests that a request that crashes endpoints is detected and refused."""
+"""Tests of the detection and refusal of requests that crash endpoints."""
 
 from __future__ import annotations
 
