--- a/src/auburnswitch/callers/app.py
+++ b/src/auburnswitch/callers/app.py
@@ -110,22 +110,22 @@
         )
 
     async def _completions(self, request: Request) -> Response:
-        return await self._complete(request, chat=False)
+        return await self._complete(request, is_chat=False)
 
     async def _chat_completions(self, request: Request) -> Response:
-        return await self._complete(request, chat=True)
+        return await self._complete(request, is_chat=True)
 
     async def _models(self, request: Request) -> Response:
         self.parser.authenticate(request.headers)
         return JSONResponse(model_list(self.parser.state))
 
-    async def _complete(self, request: Request, *, chat: bool) -> Response:
+    async def _complete(self, request: Request, *, is_chat: bool) -> Response:
         self._check_admission()
         self.parser.check_header_size(request.headers)
         caller = self.parser.authenticate(request.headers)
-        raw = await self.parser.read_body(request)
+        raw_body = await self.parser.read_body(request)
         completion = self.parser.parse_completion(
-            caller, request.headers, raw, chat=chat
+            caller, request.headers, raw_body, is_chat=is_chat
         )
         parts = self.dispatcher.run(completion.request)
         first_part = await anext(parts)
@@ -135,7 +135,7 @@
                 first_part.refusal, completion.request.id
             )
         headers = {"X-Request-Id": completion.request.id}
-        if completion.stream:
+        if completion.is_streamed:
             return self._event_stream(completion, first_part, parts, headers)
         return await self._completion_response(
             completion, first_part, parts, headers
@@ -209,12 +209,12 @@
         self._check_admission()
         self.parser.check_header_size(request.headers)
         caller = self.parser.authenticate(request.headers)
-        raw = await self.parser.read_body(request)
+        raw_body = await self.parser.read_body(request)
         path = _service_path(request)
         routed_request = self.parser.parse_plain_request(
             caller,
             request.headers,
-            raw,
+            raw_body,
             service_name=request.path_params["service"],
             method=request.method,
             path=path,
@@ -222,7 +222,7 @@
         call = PlainCall(
             method=request.method,
             path=path + (f"?{request.url.query}" if request.url.query else ""),
-            body=raw,
+            body=raw_body,
             headers=_select_forwarded_headers(request),
             idempotency_key=self.parser.parse_idempotency_key(request.headers),
         )
--- a/src/auburnswitch/callers/completion_format.py
+++ b/src/auburnswitch/callers/completion_format.py
@@ -14,23 +14,23 @@
 
 def text_chunk(completion: Completion, text: str) -> bytes:
     """Returns the stream chunk for a part of the answer's text."""
-    if completion.chat:
+    if completion.is_chat:
         choice = {"index": 0, "delta": {"content": text}}
     else:
         choice = {"index": 0, "text": text}
     choice["finish_reason"] = None
     return _encode_event(
-        _common_fields(completion, chunk=True) | {"choices": [choice]}
+        _common_fields(completion, is_chunk=True) | {"choices": [choice]}
     )
 
 
 def final_chunk(completion: Completion, end: AnswerEnd) -> bytes:
     """Returns the final chunk and the end marker of a complete stream."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": end.finish_reason}
-    choice["delta" if completion.chat else "text"] = (
-        {} if completion.chat else ""
+    choice["delta" if completion.is_chat else "text"] = (
+        {} if completion.is_chat else ""
     )
-    body = _common_fields(completion, chunk=True) | {"choices": [choice]}
+    body = _common_fields(completion, is_chunk=True) | {"choices": [choice]}
     return _encode_event(body | {"usage": end.usage}) + b"data: [DONE]\n\n"
 
 
@@ -44,11 +44,11 @@
 ) -> dict[str, Any]:
     """Returns a complete answer as one object."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": end.finish_reason}
-    if completion.chat:
+    if completion.is_chat:
         choice["message"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
-    base = _common_fields(completion, chunk=False)
+    base = _common_fields(completion, is_chunk=False)
     return base | {"choices": [choice], "usage": end.usage}
 
 
@@ -61,10 +61,10 @@
     return {"object": "list", "data": data}
 
 
-def _common_fields(completion: Completion, *, chunk: bool) -> dict[str, Any]:
+def _common_fields(completion: Completion, *, is_chunk: bool) -> dict[str, Any]:
     kind = "text_completion"
-    if completion.chat:
-        kind = "chat.completion.chunk" if chunk else "chat.completion"
+    if completion.is_chat:
+        kind = "chat.completion.chunk" if is_chunk else "chat.completion"
     return {
         "id": completion.request.id,
         "object": kind,
--- a/src/auburnswitch/callers/entry_app.py
+++ b/src/auburnswitch/callers/entry_app.py
@@ -149,8 +149,8 @@
 
     def _check_headers(self, headers: Headers, limits: IngressLimits) -> None:
         # Each header line has 4 more bytes: a colon, a space, CR and LF.
-        size = sum(len(name) + len(value) + 4 for name, value in headers)
-        if size > limits.max_header_bytes:
+        size_bytes = sum(len(name) + len(value) + 4 for name, value in headers)
+        if size_bytes > limits.max_header_bytes:
             raise EntryRefusalError(HEADERS_TOO_LARGE, "headers too large")
 
     def _make_job(
@@ -288,14 +288,14 @@
         EntryRefusalError: The body is larger than ``max_bytes``.
     """
     parts: list[bytes] = []
-    size = 0
+    size_bytes = 0
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
             raise CallerDisconnectedError
         part = message.get("body", b"")
-        size += len(part)
-        if size > max_bytes:
+        size_bytes += len(part)
+        if size_bytes > max_bytes:
             raise EntryRefusalError(BODY_TOO_LARGE, "body too large")
         parts.append(part)
         if not message.get("more_body", False):
--- a/src/auburnswitch/callers/request_parser.py
+++ b/src/auburnswitch/callers/request_parser.py
@@ -53,14 +53,14 @@
 
     Attributes:
         request: The request to route.
-        stream: Whether the caller requested a streamed answer.
-        chat: Whether it is a chat completion.
+        is_streamed: Whether the caller requested a streamed answer.
+        is_chat: Whether it is a chat completion.
         model: Model name in the request.
     """
 
     request: RoutedRequest
-    stream: bool
-    chat: bool
+    is_streamed: bool
+    is_chat: bool
     model: str
 
 
@@ -97,10 +97,10 @@
         Raises:
             RefusalError: The headers are too large.
         """
-        limit = self.settings.callers.max_header_bytes
-        size = sum(len(name) + len(value) for name, value in headers.raw)
-        if size > limit:
-            message = f"headers may have {limit} bytes"
+        limit_bytes = self.settings.callers.max_header_bytes
+        size_bytes = sum(len(name) + len(value) for name, value in headers.raw)
+        if size_bytes > limit_bytes:
+            message = f"headers may have {limit_bytes} bytes"
             raise RefusalError(refusal(ResultCode.HEADER_TOO_LARGE, message))
 
     async def read_body(self, request: Request) -> bytes:
@@ -109,35 +109,40 @@
         Raises:
             RefusalError: The body is too large.
         """
-        limit = self.settings.callers.max_body_bytes
+        limit_bytes = self.settings.callers.max_body_bytes
         too_large = refusal(
-            ResultCode.BODY_TOO_LARGE, f"a body may have {limit} bytes"
+            ResultCode.BODY_TOO_LARGE, f"a body may have {limit_bytes} bytes"
         )
         declared = request.headers.get("content-length", "0")
-        if declared.isdigit() and int(declared) > limit:
+        if declared.isdigit() and int(declared) > limit_bytes:
             raise RefusalError(too_large)
         chunks = []
-        size = 0
+        size_bytes = 0
         async for chunk in request.stream():
-            size += len(chunk)
-            if size > limit:
+            size_bytes += len(chunk)
+            if size_bytes > limit_bytes:
                 raise RefusalError(too_large)
             chunks.append(chunk)
         return b"".join(chunks)
 
     def parse_completion(
-        self, caller: Caller, headers: Headers, raw: bytes, *, chat: bool
+        self,
+        caller: Caller,
+        headers: Headers,
+        raw_body: bytes,
+        *,
+        is_chat: bool,
     ) -> Completion:
         """Validates a completion request.
 
         Raises:
             RefusalError: The request is invalid or not allowed.
         """
-        body = _parse_json_object(raw)
+        body = _parse_json_object(raw_body)
         model = _read_text_field(body, "model")
         service_name = self._find_model_service(caller, model)
         service = self.state.services[service_name]
-        tokens = self._estimate_prompt_tokens(body, chat)
+        tokens = self._estimate_prompt_tokens(body, is_chat)
         answer_tokens = self._parse_answer_tokens(body)
         length_class = classify_length(tokens, self.settings.routing)
         deadline_s = self._parse_deadline_s(headers, service, length_class)
@@ -150,22 +155,25 @@
             prompt_tokens=tokens,
             answer_tokens=answer_tokens,
             length_class=length_class,
-            fingerprint=compute_fingerprint(caller.team, raw),
-            path="/v1/chat/completions" if chat else "/v1/completions",
+            fingerprint=compute_fingerprint(caller.team, raw_body),
+            path="/v1/chat/completions" if is_chat else "/v1/completions",
             body=body,
             max_attempts=max(1, service.max_attempts),
             allow_continuation=service.allow_continuation,
         )
-        stream = body.get("stream", False) is True
+        is_streamed = body.get("stream", False) is True
         return Completion(
-            request=request, stream=stream, chat=chat, model=model
+            request=request,
+            is_streamed=is_streamed,
+            is_chat=is_chat,
+            model=model,
         )
 
     def parse_plain_request(
         self,
         caller: Caller,
         headers: Headers,
-        raw: bytes,
+        raw_body: bytes,
         *,
         service_name: str,
         method: str,
@@ -180,10 +188,10 @@
         if service is None or service.kind != ServiceKind.PLAIN:
             raise RefusalError(refusal(ResultCode.UNKNOWN_SERVICE))
         self._check_team(caller, service)
-        tokens = max(1, math.ceil(len(raw) / 4))
+        tokens = max(1, math.ceil(len(raw_body) / 4))
         length_class = classify_length(tokens, self.settings.routing)
         deadline_s = self._parse_deadline_s(headers, service, length_class)
-        fingerprint_input = f"{method} {path}\n".encode() + raw
+        fingerprint_input = f"{method} {path}\n".encode() + raw_body
         idempotent = method in service.idempotent_methods or any(
             path.startswith(prefix) for prefix in service.idempotent_paths
         )
@@ -235,8 +243,10 @@
         if service.teams and caller.team not in service.teams:
             raise RefusalError(refusal(ResultCode.TEAM_NOT_ALLOWED))
 
-    def _estimate_prompt_tokens(self, body: dict[str, Any], chat: bool) -> int:
-        if not chat:
+    def _estimate_prompt_tokens(
+        self, body: dict[str, Any], is_chat: bool
+    ) -> int:
+        if not is_chat:
             prompt = _read_text_field(body, "prompt")
             return estimate_tokens(prompt, self.settings.routing)
         messages = body.get("messages")
@@ -261,12 +271,12 @@
         service: Service,
         length_class,  # noqa: ANN001
     ) -> float:
-        raw = headers.get(DEADLINE_HEADER)
+        raw_deadline = headers.get(DEADLINE_HEADER)
         limit_s = self.settings.callers.max_deadline_s
-        if raw is None:
+        if raw_deadline is None:
             return min(default_deadline_s(service, length_class), limit_s)
         try:
-            seconds = float(raw)
+            seconds = float(raw_deadline)
         except ValueError:
             seconds = math.nan
         if not 0 < seconds <= limit_s:
@@ -290,9 +300,9 @@
     return text.isascii() and text.isprintable() and "/" not in text
 
 
-def _parse_json_object(raw: bytes) -> dict[str, Any]:
+def _parse_json_object(raw_body: bytes) -> dict[str, Any]:
     try:
-        body = json.loads(raw)
+        body = json.loads(raw_body)
     except (ValueError, RecursionError) as error:
         raise RefusalError(refusal(ResultCode.BAD_JSON)) from error
     if not isinstance(body, dict):
--- a/src/auburnswitch/cli/explain.py
+++ b/src/auburnswitch/cli/explain.py
@@ -89,7 +89,7 @@
 
 
 def find_request_lines(request_id: str, lines: list[LogLine]) -> list[LogLine]:
-    """Returns the lines of a request and the related endpoint events by time.
+    """Returns a request's lines and related endpoint events, sorted by time.
 
     Related are the context events of the request's endpoints between the first
     and the last line of the request.
--- a/src/auburnswitch/object_store/client.py
+++ b/src/auburnswitch/object_store/client.py
@@ -145,7 +145,7 @@
             case _Reply(status=404):
                 return Ok(None)
             case _Reply() as reply:
-                return Error(_make_unavailable(reply, write=False))
+                return Error(_make_unavailable(reply, is_write=False))
             case error:
                 return Error(error)
 
@@ -182,7 +182,7 @@
                 limit = self.settings.max_value_bytes
                 return Error(ValueTooLarge(limit_bytes=limit))
             case _Reply():
-                return Error(_make_unavailable(reply, write=True))
+                return Error(_make_unavailable(reply, is_write=True))
             case error:
                 return Error(error)
 
@@ -204,7 +204,7 @@
             case _Reply(status=412, body=body):
                 return Error(VersionConflict(version=body["version"]))
             case _Reply():
-                return Error(_make_unavailable(reply, write=True))
+                return Error(_make_unavailable(reply, is_write=True))
             case error:
                 return Error(error)
 
@@ -220,7 +220,7 @@
                 items = [_decode_object(item) for item in body["items"]]
                 return Ok(Listing(items=items, revision=body["revision"]))
             case _Reply():
-                return Error(_make_unavailable(reply, write=False))
+                return Error(_make_unavailable(reply, is_write=False))
             case error:
                 return Error(error)
 
@@ -265,7 +265,7 @@
             case _Reply(status=410):
                 return Error(RevisionExpired())
             case _Reply():
-                return Error(_make_unavailable(reply, write=False))
+                return Error(_make_unavailable(reply, is_write=False))
             case error:
                 return Error(error)
 
@@ -277,7 +277,7 @@
                     [_decode_instance(item) for item in body["instances"]]
                 )
             case _Reply() as reply:
-                return Error(_make_unavailable(reply, write=False))
+                return Error(_make_unavailable(reply, is_write=False))
             case error:
                 return Error(error)
 
@@ -372,8 +372,8 @@
             ValueError,
         ) as error:
             reason = str(error) or type(error).__name__
-            unknown = method != "GET"
-            return StoreUnavailable(reason=reason, outcome_unknown=unknown)
+            is_write = method != "GET"
+            return StoreUnavailable(reason=reason, outcome_unknown=is_write)
         return _Reply(
             status=response.status, body=body, headers=response.headers
         )
@@ -409,12 +409,12 @@
     )
 
 
-def _make_unavailable(reply: _Reply, *, write: bool) -> StoreUnavailable:
+def _make_unavailable(reply: _Reply, *, is_write: bool) -> StoreUnavailable:
     refused = reply.status in (429, 503)
     retry_after_s = float(reply.headers.get("Retry-After", 0) or 0)
     return StoreUnavailable(
         reason=f"HTTP status {reply.status}",
-        outcome_unknown=write and not refused,
+        outcome_unknown=is_write and not refused,
         retry_after_s=retry_after_s,
     )
 
