--- a/src/auburnswitch/endpoints/admission.py
+++ b/src/auburnswitch/endpoints/admission.py
@@ -16,7 +16,7 @@
 def has_capacity(
     ledger: EndpointLedger, request: ReserveRequest, settings: RoutingSettings
 ) -> bool:
-    """Returns whether a request fits beside the granted reservations."""
+    """Returns whether a request fits in addition to the reservations."""
     needed = needed_tokens(request)
     if ledger.reserved_tokens + needed > ledger.spec.memory_tokens:
         return False
@@ -47,7 +47,7 @@
 
 
 def _fits_long_prefill(ledger: EndpointLedger, request: ReserveRequest) -> bool:
-    """Returns whether long prefill stays within its limit.
+    """Returns whether the prefill of long prompts stays within its limit.
 
     A single long prompt may exceed the limit.
     """
@@ -56,8 +56,8 @@
         for r in ledger.reservations.values()
         if r.length_class is LengthClass.LONG
     )
-    bound = ledger.spec.memory_tokens * ledger.spec.long_share
-    return not prefill or prefill + request.prompt_tokens <= bound
+    limit = ledger.spec.memory_tokens * ledger.spec.long_share
+    return not prefill or prefill + request.prompt_tokens <= limit
 
 
 def fits_when_idle(ledger: EndpointLedger, request: ReserveRequest) -> bool:
--- a/src/auburnswitch/endpoints/admission_controller.py
+++ b/src/auburnswitch/endpoints/admission_controller.py
@@ -44,7 +44,7 @@
         cold_gate: Decides whether cold endpoints may be used.
         leases: Ownership leases of this daemon.
         invariants: Checks each grant.
-        next_id: Number of the newest reservation.
+        last_id: Number of the newest reservation.
     """
 
     __slots__ = (
@@ -52,9 +52,9 @@
         "has_strikes",
         "invariants",
         "is_unschedulable",
+        "last_id",
         "leases",
         "ledgers",
-        "next_id",
         "owns",
         "routing",
         "unschedulable",
@@ -85,7 +85,7 @@
         self.cold_gate = cold_gate
         self.leases = leases
         self.invariants = invariants
-        self.next_id = 0
+        self.last_id = 0
 
     def try_reserve(
         self, request: ReserveRequest, member_id: str
@@ -94,7 +94,7 @@
         ledger = self.ledgers.get(request.endpoint)
         if ledger is None or not self.owns(request.endpoint):
             return ReserveReply(code=ResultCode.NOT_OWNER)
-        if refused := self.refusal(ledger, request):
+        if refused := self.refusal_code(ledger, request):
             return ReserveReply(code=refused, retry_after_s=MIN_RETRY_AFTER_S)
         if not ledger.admits(request):
             return None
@@ -102,8 +102,8 @@
             return None
         if self._has_strike_conflict(ledger, request):
             return None
-        self.next_id += 1
-        reservation_id = f"{self.view.local_member.id}/{self.next_id}"
+        self.last_id += 1
+        reservation_id = f"{self.view.local_member.id}/{self.last_id}"
         reservation = ledger.grant(request, member_id, reservation_id)
         reservation.expected_first_token_s = predicted_wait_s(
             ledger, reservation.length_class
@@ -122,7 +122,7 @@
         granted = ledger.reservations.values()
         return any(self.has_strikes(r.fingerprint) for r in granted)
 
-    def refusal(
+    def refusal_code(
         self, ledger: EndpointLedger, request: ReserveRequest
     ) -> ResultCode | None:
         """Returns why waiting can't lead to a grant, or None if it can."""
@@ -143,12 +143,14 @@
 
     def _check_grant(self, ledger: EndpointLedger) -> None:
         limits = ledger.limits
-        holds = not ledger.is_cold or (
+        is_allowed = not ledger.is_cold or (
             ledger.running <= limits.running
             and ledger.prompt_tokens <= limits.prompt_tokens
             and self.leases.holds_lease(ledger.name)
         )
-        self.invariants.check(holds, Invariant.COLD_BOUND, endpoint=ledger.name)
+        self.invariants.check(
+            is_allowed, Invariant.COLD_BOUND, endpoint=ledger.name
+        )
         phase = self.unschedulable.phase(ledger.name)
         self.invariants.check(
             phase is not EndpointPhase.OUT,
--- a/src/auburnswitch/endpoints/backlog.py
+++ b/src/auburnswitch/endpoints/backlog.py
@@ -13,7 +13,7 @@
     from auburnswitch.endpoints.reservation import Reservation
     from auburnswitch.schema.peers import LengthClass
 
-CHUNK_DELAY_S: Final = 0.05  # until a prompt in prefill is preempted
+CHUNK_DELAY_S: Final = 0.05  # a prompt is preempted only between chunks
 MIN_REMAINING_S: Final = 0.02
 
 
@@ -52,40 +52,41 @@
         self.granted_count = 0
 
     def update(
-        self, reservations: Mapping[str, Reservation], rate: float
+        self, reservations: Mapping[str, Reservation], tokens_per_s: float
     ) -> None:
         """Advances the model to the present time.
 
         Args:
             reservations: The reservations on the endpoint, by id.
-            rate: Prefill rate of the endpoint, in prompt tokens per second.
+            tokens_per_s: Prefill rate of the endpoint.
         """
         for reservation in reservations.values():
             if reservation.id in self.items or not reservation.prefill_tokens:
                 continue
-            self._advance(reservation.granted_at, rate)
+            self._advance(reservation.granted_at, tokens_per_s)
             self.granted_count += 1
             remaining_tokens = float(reservation.prefill_tokens)
             if self.must_wait_for_chunk(reservation.length_class):
-                remaining_tokens += CHUNK_DELAY_S * rate
+                remaining_tokens += CHUNK_DELAY_S * tokens_per_s
             self.items[reservation.id] = PrefillItem(
                 length=reservation.length_class,
                 order=self.granted_count,
                 remaining_tokens=remaining_tokens,
             )
-        self._advance(monotonic_s(), rate)
+        self._advance(monotonic_s(), tokens_per_s)
         for reservation_id in list(self.items):
             current = reservations.get(reservation_id)
             if current is None or not current.prefill_tokens:
                 del self.items[reservation_id]
 
-    def wait_s(self, length: LengthClass, rate: float) -> float:
+    def wait_s(self, length: LengthClass, tokens_per_s: float) -> float:
         """Returns the prefill time ahead of a new prompt, in seconds.
 
-        A prompt without a first token always counts as unfinished.
+        A prompt without a first token is unfinished, so it counts as at least
+        MIN_REMAINING_S.
         """
         return sum(
-            max(i.remaining_tokens / rate, MIN_REMAINING_S)
+            max(i.remaining_tokens / tokens_per_s, MIN_REMAINING_S)
             for i in self.items.values()
             if i.length <= length
         )
@@ -97,8 +98,8 @@
             return False  # one of them is in prefill or takes precedence
         return any(item.remaining_tokens for item in items)
 
-    def _advance(self, until: float, rate: float) -> None:
-        tokens = max(0.0, until - self.modelled_at) * rate
+    def _advance(self, until: float, tokens_per_s: float) -> None:
+        tokens = max(0.0, until - self.modelled_at) * tokens_per_s
         self.modelled_at = max(self.modelled_at, until)
         ordered = sorted(self.items.values(), key=lambda i: (i.length, i.order))
         for item in ordered:
--- a/src/auburnswitch/endpoints/client.py
+++ b/src/auburnswitch/endpoints/client.py
@@ -18,8 +18,8 @@
 
     SendGuard = Callable[[], None]
 
-_DATA: Final = b"data: "
-_DONE: Final = b"[DONE]"
+_DATA_PREFIX: Final = b"data: "
+_END_MARKER: Final = b"[DONE]"
 READ_BYTES: Final = 65536
 
 
@@ -90,7 +90,8 @@
     between the guard and the write of the request's header.
     """
     trace = aiohttp.TraceConfig()
-    trace.on_request_headers_sent.append(_call_guard)  # runs before sending
+    # aiohttp calls this right before it sends the headers.
+    trace.on_request_headers_sent.append(_call_guard)
     trace.freeze()
     return trace
 
@@ -288,10 +289,10 @@
         partial_line = lines.pop()
         frames = []
         for line in lines:
-            if not line.startswith(_DATA):
+            if not line.startswith(_DATA_PREFIX):
                 continue
-            payload = line[len(_DATA) :].strip()
-            if payload == _DONE:
+            payload = line[len(_DATA_PREFIX) :].strip()
+            if payload == _END_MARKER:
                 if frames:
                     yield frames
                 await response.read()  # keeps the connection reusable
--- a/src/auburnswitch/endpoints/endpoint_manager.py
+++ b/src/auburnswitch/endpoints/endpoint_manager.py
@@ -44,8 +44,8 @@
     from auburnswitch.observe.invariants import Invariants
     from auburnswitch.schema.settings import Settings
 
-MAX_REPLY_HINTS: Final = 3
-HINT_BATCH_MAX_AGE_S: Final = 0.05  # heartbeats are spread over an interval
+MAX_ALTERNATIVE_HINTS: Final = 3
+HINT_BATCH_MAX_AGE_S: Final = 0.05  # shared by heartbeats close in time
 _NEVER: Final = float("-inf")
 
 
@@ -60,6 +60,8 @@
         admission_controller: Grants or refuses reservation requests.
         owners: Owner of each endpoint among the live members.
         unschedulable: Endpoints that receive no new work.
+        hint_batch: Loop time at which the hints for heartbeats were built, in
+            seconds, and the hints.
         hints: Newest hint of each endpoint from its owner.
         ledgers: Ledger by endpoint name; created on first use.
         queues: Queue of waiting requests by endpoint name.
@@ -184,7 +186,7 @@
             return ReserveReply(code=ResultCode.NOT_OWNER)
         wait_s = self._wait_s(ledger, LengthClass(request.length_class))
         refused = _refuse_excessive_wait(ledger, request, wait_s)
-        if refused is not None and not self.admission_controller.refusal(
+        if refused is not None and not self.admission_controller.refusal_code(
             ledger, request
         ):
             refused.hints = self._hints_for(request)
@@ -213,7 +215,7 @@
             return ResultCode.OK
         reservation = ledger.reservations.get(request.reservation_id)
         if reservation is not None and reservation.is_released:
-            return ResultCode.OK  # already released
+            return ResultCode.OK
         if reservation is not None and request.used:
             self.phase_transitions.record_outcome(ledger, reservation, request)
         if reservation is not None and request.may_still_run:
@@ -319,7 +321,7 @@
     def on_pause(self) -> None:
         """Discards hints and phases and restarts recovery after a pause.
 
-        They may be out of date, as this daemon was paused.
+        Hints and phases may be out of date then.
         """
         self.hints.clear()
         for ledger in self.ledgers.values():
@@ -366,8 +368,13 @@
         hints = [self.local_hint(name) for name in names if self.owns(name)]
         long = request.length_class == LengthClass.LONG
         hints.sort(key=lambda h: h.long_wait_s if long else h.short_wait_s)
-        own = [hint for hint in hints if hint.endpoint == request.endpoint]
-        return own + [h for h in hints if h not in own][:MAX_REPLY_HINTS]
+        requested = [
+            hint for hint in hints if hint.endpoint == request.endpoint
+        ]
+        return (
+            requested
+            + [h for h in hints if h not in requested][:MAX_ALTERNATIVE_HINTS]
+        )
 
 
 def _refuse_excessive_wait(
--- a/src/auburnswitch/endpoints/engine_reconciler.py
+++ b/src/auburnswitch/endpoints/engine_reconciler.py
@@ -54,7 +54,8 @@
             seconds.
         matched_target: Boot id, model version and role that it matched then.
         sent_at: Loop time at which each order was sent, in seconds.
-        last_seen_number: Highest fencing number that the engine reported.
+        last_seen_number: Last fencing number that the engine reported when it
+            rejected an order, 0 if none.
     """
 
     matched_at: float
@@ -64,7 +65,7 @@
 
 
 class EngineReconciler:
-    """Compares engines with their desired state and orders the difference.
+    """Compares engines with their desired state and sends missing orders.
 
     Attributes:
         endpoint_manager: Ledgers of the owned endpoints.
@@ -130,11 +131,11 @@
         if not self.endpoint_manager.leases.holds_lease(ledger.name):
             return False
         state = self.states.get(ledger.name)
-        if state is None or state.matched_target != self._match_key(ledger):
+        if state is None or state.matched_target != self._target(ledger):
             return True
         return monotonic_s() >= state.matched_at + READ_BACK_INTERVAL_S
 
-    def _match_key(self, ledger: EndpointLedger) -> tuple[str, ...]:
+    def _target(self, ledger: EndpointLedger) -> tuple[str, ...]:
         spec = ledger.spec
         return (ledger.boot_id, spec.model_version, spec.role)
 
@@ -144,7 +145,7 @@
             ReconcileState(matched_at=0.0, matched_target=(), sent_at={}),
         )
         try:
-            key = self._match_key(ledger)
+            target = self._target(ledger)
             current = await self._read(ledger)
             missing = [
                 o
@@ -152,7 +153,7 @@
                 if not _is_applied(o, current)
             ]
             if not missing:
-                state.matched_target = key
+                state.matched_target = target
                 state.matched_at = monotonic_s()
                 state.sent_at.clear()
                 return
@@ -176,7 +177,7 @@
     ) -> None:
         sent_at = state.sent_at.get(order)
         if sent_at is not None and monotonic_s() < sent_at + ORDER_TIMEOUT_S:
-            return  # a load takes time; a later read shows its completion
+            return  # a model load takes time; a later read shows its end
         if order.kind == "load_model" and not await self.load_limiter.may_load(
             order.name, order.version
         ):
--- a/src/auburnswitch/endpoints/fencing.py
+++ b/src/auburnswitch/endpoints/fencing.py
@@ -42,7 +42,7 @@
 
         Args:
             endpoint: The endpoint's name.
-            last_seen: Number that the engine reported, 0 if it has not.
+            last_seen: Last number that the engine reported, 0 if none.
 
         Returns:
             The number, or the reason why none was allocated.
--- a/src/auburnswitch/endpoints/instance_list.py
+++ b/src/auburnswitch/endpoints/instance_list.py
@@ -20,7 +20,7 @@
 
 
 class InstanceListReader:
-    """Reads the list in one daemon, which reports it to the others.
+    """Lets one daemon read the list and report it to the others.
 
     The next daemon in rendezvous order takes over once the reader has missed
     MISSED_READS_BEFORE_FAILOVER reads, and so on.
@@ -86,11 +86,11 @@
     async def _read(self) -> bool:
         match await self.store.list_instances():
             case Result(tag="ok", ok=instances):
-                self._update_leaving(self._leaving(instances))
+                self._update_leaving(self._leaving_instances(instances))
                 return True
         return False
 
-    def _leaving(self, instances: list[Instance]) -> set[str]:
+    def _leaving_instances(self, instances: list[Instance]) -> set[str]:
         endpoints = self.endpoint_manager.state.endpoints
         used = {spec.instance or name for name, spec in endpoints.items()}
         return {i.name for i in instances if i.leaving and i.name in used}
--- a/src/auburnswitch/endpoints/model_load_limiter.py
+++ b/src/auburnswitch/endpoints/model_load_limiter.py
@@ -14,12 +14,12 @@
 
     from auburnswitch.schema.settings import EndpointsSettings
 
-DEFAULT_RETRY_S: Final = 5.0
+MIN_RETRY_DELAY_S: Final = 5.0
 CALL_TIMEOUT_S: Final = 2.0
 
 
 class ModelLoadLimiter:
-    """A token bucket with this daemon's share of the weight store's rate.
+    """Limits model loads to this daemon's share of the weight store's rate.
 
     Attributes:
         count_daemons: Returns the number of daemons that share the rate.
@@ -41,7 +41,7 @@
         self.next_load_at = 0.0
 
     async def may_load(self, model: str, version: str) -> bool:
-        """Returns whether a load may start now, and takes a token if so."""
+        """Returns whether a load may start now; if so, delays the next one."""
         if monotonic_s() < self.next_load_at:
             return False
         rate = self.settings.weight_loads_per_second
@@ -64,7 +64,7 @@
                 wait_s = float(response.headers.get("Retry-After", 0) or 0)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
             wait_s = 0.0
-        self.next_load_at = monotonic_s() + max(wait_s, DEFAULT_RETRY_S)
+        self.next_load_at = monotonic_s() + max(wait_s, MIN_RETRY_DELAY_S)
         return False
 
 
--- a/src/auburnswitch/endpoints/orphans.py
+++ b/src/auburnswitch/endpoints/orphans.py
@@ -70,7 +70,7 @@
         server.handlers[ClaimsRequest] = self._on_claims
 
     async def collect_if_due(self, ledger: EndpointLedger) -> None:
-        """Reads an engine's lists if they are due, and frees orphans."""
+        """Reads an engine's lists of work if due, and frees orphans."""
         if not self._is_due(ledger):
             return
         requested_at = monotonic_s()
--- a/src/auburnswitch/endpoints/owner_client.py
+++ b/src/auburnswitch/endpoints/owner_client.py
@@ -27,10 +27,10 @@
     """Calls the owners of endpoints, including this daemon.
 
     Attributes:
-        endpoint_manager: Handles requests that this daemon owns.
+        endpoint_manager: Handles requests for endpoints that this daemon owns.
         membership: Links to the other daemons.
         apply_locally: Handles a message to this daemon.
-        pending_calls: Calls without a reply so far.
+        pending_calls: Calls that wait for a reply.
     """
 
     __slots__ = (
--- a/src/auburnswitch/endpoints/phase_transitions.py
+++ b/src/auburnswitch/endpoints/phase_transitions.py
@@ -95,7 +95,8 @@
         warm_up = ledger.warm_up
         with _log_phase_change(ledger):
             if self.unschedulable.phase(ledger.name) is not None:
-                warm_up.reset_to_cold(report.boot_id)  # it may return cold
+                # it is cold when it returns
+                warm_up.reset_to_cold(report.boot_id)
             elif ledger.phase is EndpointPhase.UNKNOWN:
                 self._start_tracking(ledger, report)
             elif _has_restarted(ledger, report):
@@ -135,18 +136,18 @@
             ledger.warm_up.inherit(hint)
 
     def _has_old_work(self, ledger: EndpointLedger) -> bool:
-        # A report may predate the work; only work that was dispatched before
-        # the report's lag counts.
+        # A load report may predate recent work, so only work that its holder
+        # still reported well after the grant counts.
         lag_s = self.settings.load_lag_s + self.settings.load_interval_s
-        oldest = min(
+        oldest_grant_at = min(
             (r.granted_at for r in ledger.reservations.values() if r.attempt),
             default=float("inf"),
         )
-        newest_report = max(
+        newest_report_at = max(
             (r.reported_at for r in ledger.reservations.values() if r.attempt),
             default=float("-inf"),
         )
-        return newest_report - oldest > 2 * lag_s
+        return newest_report_at - oldest_grant_at > 2 * lag_s
 
 
 def _has_restarted(ledger: EndpointLedger, report: LoadReport) -> bool:
--- a/src/auburnswitch/endpoints/phases.py
+++ b/src/auburnswitch/endpoints/phases.py
@@ -21,8 +21,8 @@
 BASELINE_EWMA_WEIGHT: Final = 0.1
 SLOW_FIRST_TOKENS_BEFORE_COLD: Final = 2
 EMPTY_REPORTS_BEFORE_COLD: Final = 2
-MAX_NORMAL_RATIO: Final = 1.5  # of a first-token ratio to the baseline
-WARM_SPEEDUP_RATIO: Final = 2.0  # of an engine at the end of its cold phase
+MAX_NORMAL_RATIO: Final = 1.5  # multiple of the baseline ratio
+WARM_SPEEDUP_RATIO: Final = 2.0  # of the highest cold ratio to a warm one
 MAX_UNDETECTED_RESETS: Final = 1  # while the engine is cold
 
 
@@ -121,15 +121,16 @@
     def _has_warmed_up(self, spec: Endpoint) -> bool:
         """Returns whether a cold endpoint has succeeded often enough.
 
-        It may have become cold again undetected, as its first tokens were
-        slow already, and then counts from zero. It is warm if a first token
-        comes at normal speed, or after enough successes for
-        MAX_UNDETECTED_RESETS further resets.
+        The engine may have reset while cold; this goes undetected, since its
+        first tokens were slow already, and the engine then needs all successes
+        again. So warm_after successes suffice only with a first token at
+        normal speed; otherwise as many more are needed for each of
+        MAX_UNDETECTED_RESETS resets.
         """
         if self.successes < spec.warm_after:
             return False
-        sufficient = (1 + MAX_UNDETECTED_RESETS) * spec.warm_after
-        return self.is_normal_speed or self.successes >= sufficient
+        sufficient_successes = (1 + MAX_UNDETECTED_RESETS) * spec.warm_after
+        return self.is_normal_speed or self.successes >= sufficient_successes
 
     def reduce_window(self, spec: Endpoint) -> None:
         """Halves the window of a warming endpoint."""
@@ -156,7 +157,8 @@
         Args:
             spec: The endpoint as configured.
             ratio: Ratio of the actual to the expected first-token time.
-            slow_ratio: Multiple of the baseline above which it is slow.
+            slow_ratio: Multiple of the baseline above which a first token is
+                slow.
         """
         if self.baseline_ratio and ratio > slow_ratio * self.baseline_ratio:
             self.slow_first_tokens += 1
--- a/src/auburnswitch/endpoints/queue.py
+++ b/src/auburnswitch/endpoints/queue.py
@@ -40,7 +40,7 @@
 
 
 class ReservationQueue:
-    """Queues by length class with aging, with fair queueing between teams.
+    """Queues requests by length class, with aging and fair queueing by team.
 
     Each team has a virtual time, which a grant advances by its tokens divided
     by the team's weight. Among requests of equal urgency the team with the
@@ -100,12 +100,14 @@
         """Grants the requests that fit, in order.
 
         A request that doesn't fit blocks all later ones except short ones,
-        since they would otherwise take the capacity that it waits for.
+        since they would otherwise take the capacity that it waits for. A
+        request with crash strikes blocks none, since it may wait for another
+        such request to end rather than for capacity.
         """
         blocked = False
         for waiter in self._ordered():
-            short = waiter.request.length_class == LengthClass.SHORT
-            if blocked and not short:
+            is_short = waiter.request.length_class == LengthClass.SHORT
+            if blocked and not is_short:
                 continue
             reply = self.try_reserve(waiter.request, waiter.member_id)
             if reply is None:
@@ -140,7 +142,7 @@
             waiter = waiting[key].pop(0)
             ordered.append(waiter)
             start = self._virtual_start(times, key[1])
-            times[key[1]] = start + _virtual_tokens(waiter.request)
+            times[key[1]] = start + _virtual_cost(waiter.request)
             if not waiting[key]:
                 del waiting[key]
         return ordered
@@ -155,7 +157,7 @@
             return
         start = self._virtual_start(self.virtual_times, request.team)
         self.virtual_now = start
-        self.virtual_times[request.team] = start + _virtual_tokens(request)
+        self.virtual_times[request.team] = start + _virtual_cost(request)
 
     def _urgency(self, waiter: Waiter) -> int:
         if monotonic_s() - waiter.queued_at >= self.aging_s:
@@ -163,7 +165,7 @@
         return waiter.request.length_class
 
 
-def _virtual_tokens(request: ReserveRequest) -> float:
+def _virtual_cost(request: ReserveRequest) -> float:
     tokens = request.prompt_tokens + request.answer_tokens
     return tokens / max(1e-6, request.team_weight)
 
--- a/src/auburnswitch/endpoints/reservations.py
+++ b/src/auburnswitch/endpoints/reservations.py
@@ -165,7 +165,7 @@
         Raises:
             DispatchRefusedError: The reservation must not be used now.
         """
-        if reason := self._refusal(held, attempt):
+        if reason := self._refusal_reason(held, attempt):
             raise DispatchRefusedError(reason)
         if held.dispatched_at is None:
             held.dispatched_at = monotonic_s()
@@ -243,7 +243,7 @@
             or member_id == manager.leases.owner_of(held.endpoint)
         ]
 
-    def _refusal(self, held: HeldReservation, attempt: Attempt) -> str:
+    def _refusal_reason(self, held: HeldReservation, attempt: Attempt) -> str:
         if held.id not in self.held:
             return "the reservation was given back"
         if (
@@ -286,10 +286,10 @@
             endpoint
         )
         invariants = self.endpoint_manager.invariants
-        out = unschedulable_phase is EndpointPhase.OUT
-        invariants.check(not out, Invariant.ZONE_OUT, endpoint=endpoint)
-        leaving = unschedulable_phase is EndpointPhase.LEAVING
-        invariants.check(not leaving, Invariant.LEAVING, endpoint=endpoint)
+        is_out = unschedulable_phase is EndpointPhase.OUT
+        invariants.check(not is_out, Invariant.ZONE_OUT, endpoint=endpoint)
+        is_leaving = unschedulable_phase is EndpointPhase.LEAVING
+        invariants.check(not is_leaving, Invariant.LEAVING, endpoint=endpoint)
 
     async def _send_to_owners(
         self,
--- a/src/auburnswitch/entry/entry_daemon.py
+++ b/src/auburnswitch/entry/entry_daemon.py
@@ -109,7 +109,7 @@
         )
         self.state_exchange = StateExchange(
             installation=self.installation,
-            key=lambda: self.gossip.key,
+            get_key=lambda: self.gossip.key,
             live_peers=self.gossip.live_peers,
             zone=record.zone,
             rng=rng,
--- a/src/auburnswitch/members/cells.py
+++ b/src/auburnswitch/members/cells.py
@@ -35,11 +35,11 @@
     """
 
     __slots__ = (
+        "_endpoint_counts",
         "_local_cell",
         "_local_endpoints",
         "_revision",
         "_ring",
-        "_sizes",
         "installation",
         "instance",
     )
@@ -48,7 +48,7 @@
         self.installation = installation
         self.instance = instance
         self._revision = -1
-        self._sizes: collections.Counter[str] = collections.Counter()
+        self._endpoint_counts: collections.Counter[str] = collections.Counter()
         self._ring = HashRing(members=["0"])
         self._local_cell = "0"
         self._local_endpoints: dict[str, list[TrackedEndpoint]] = {}
@@ -66,7 +66,8 @@
     def spans_cells(self, service: str) -> bool:
         """Returns whether the endpoints of a service are in several cells."""
         return (
-            self.count > 1 and self._sizes[service] > MAX_SINGLE_CELL_ENDPOINTS
+            self.count > 1
+            and self._endpoint_counts[service] > MAX_SINGLE_CELL_ENDPOINTS
         )
 
     def is_cell_endpoint(self, endpoint: str) -> bool:
@@ -84,10 +85,10 @@
             return
         self._revision = revision
         endpoints = self.installation.endpoints.values()
-        self._sizes = collections.Counter(
+        self._endpoint_counts = collections.Counter(
             endpoint.entry.service_name for endpoint in endpoints
         )
-        largest = max(self._sizes.values(), default=0)
+        largest = max(self._endpoint_counts.values(), default=0)
         count = 1
         if largest > MAX_SINGLE_CELL_ENDPOINTS:
             count = largest // ENDPOINTS_PER_CELL
--- a/src/auburnswitch/members/gossip.py
+++ b/src/auburnswitch/members/gossip.py
@@ -36,7 +36,7 @@
 ENDED_WORK_BATCH_DELAY_S: Final = 0.02
 MAX_HEARTBEAT_ITEMS: Final = 400  # fit into one datagram
 MAX_DATAGRAM_BYTES: Final = 16_000
-MAX_DIRECT_PEERS: Final = 16  # relays forward above this
+MAX_DIRECT_PEERS: Final = 16  # relays forward messages to more peers
 RELAY_BATCH_DELAY_S: Final = 0.01
 CELL_PEERS_REFRESH_INTERVAL_S: Final = 0.25
 MAX_RELAYED_MESSAGES_PER_FRAME: Final = 100
--- a/src/auburnswitch/members/gossip_peer.py
+++ b/src/auburnswitch/members/gossip_peer.py
@@ -11,7 +11,7 @@
     from auburnswitch.schema.gossip import DaemonRecord
 
 MIN_HEARTBEAT_INTERVAL_S: Final = 0.5
-MAX_LEADING_INTERVAL_S: Final = 0.7
+MAX_LEADING_HEARTBEAT_INTERVAL_S: Final = 0.7
 HEARTBEAT_INTERVAL_PER_PEER_S: Final = (
     0.03  # bounds the heartbeats that a daemon receives per second
 )
@@ -103,18 +103,24 @@
         self.liveness_timeout_s = LIVENESS_TIMEOUT_HEARTBEATS * interval_s
 
 
-def heartbeat_interval_s(peers: int, *, leading: bool = False) -> float:
+def heartbeat_interval_s(
+    receiver_count: int, *, leading: bool = False
+) -> float:
     """Returns the time between two heartbeats, in seconds.
 
     Args:
-        peers: Number of heartbeat receivers.
+        receiver_count: Number of heartbeat receivers.
         leading: Whether the sender reads the store for its peers or is a
             relay.
     """
     interval_s = max(
-        MIN_HEARTBEAT_INTERVAL_S, peers * HEARTBEAT_INTERVAL_PER_PEER_S
+        MIN_HEARTBEAT_INTERVAL_S, receiver_count * HEARTBEAT_INTERVAL_PER_PEER_S
+    )
+    return (
+        min(interval_s, MAX_LEADING_HEARTBEAT_INTERVAL_S)
+        if leading
+        else interval_s
     )
-    return min(interval_s, MAX_LEADING_INTERVAL_S) if leading else interval_s
 
 
 __all__ = ["GossipPeer", "heartbeat_interval_s"]
--- a/src/auburnswitch/members/isolation.py
+++ b/src/auburnswitch/members/isolation.py
@@ -23,7 +23,7 @@
 
 
 class IsolationDetector:
-    """Detects that the configuration may have changed without being read.
+    """Detects that this daemon may have missed configuration changes.
 
     This daemon's group is the set of daemons that exchange messages with it.
     The configuration is current if a member of the group has read the store
@@ -148,9 +148,9 @@
         """Updates the quorum set and logs changes of isolation."""
         if self.has_majority():
             self._update_quorum_ids()
-        running_s = monotonic_s() - self.view.last_resumed_at
+        since_resume_s = monotonic_s() - self.view.last_resumed_at
         isolated = self.is_isolated()
-        if isolated and running_s < self.view.settings.isolated_after_s:
+        if isolated and since_resume_s < self.view.settings.isolated_after_s:
             return  # peers' messages may not have arrived yet
         if isolated != self.isolated:
             self.isolated = isolated
--- a/src/auburnswitch/members/membership.py
+++ b/src/auburnswitch/members/membership.py
@@ -185,7 +185,7 @@
             member_id=self.view.local_member.id,
             settings=self.settings.peers,
             shared_key=self.shared_key,
-            seed=self.settings.daemon.seed,
+            rng_seed=self.settings.daemon.seed,
             dial=self.dial,
         )
         self.links[member.id] = link
--- a/src/auburnswitch/members/ownership_leases.py
+++ b/src/auburnswitch/members/ownership_leases.py
@@ -120,7 +120,7 @@
             self.first_majority_at[epoch] = monotonic_s()
 
     def _drop_handovers(self) -> None:
-        """Removes handovers of past epochs that the history lacks."""
+        """Removes handovers of epochs that the history no longer has."""
         retained_epochs = self.history.member_ids
         self.handovers = {
             key: handover
@@ -212,32 +212,32 @@
             endpoint: Name of the endpoint.
             epoch: An epoch of the ownership period.
         """
-        start = self.history.ownership_start_epoch(endpoint, epoch)
-        if start == FIRST_EPOCH:
+        start_epoch = self.history.ownership_start_epoch(endpoint, epoch)
+        if start_epoch == FIRST_EPOCH:
             return -math.inf  # there was no earlier owner
         first_majority_at = min(
             (
                 at
                 for earlier_epoch, at in self.first_majority_at.items()
-                if start <= earlier_epoch <= epoch
+                if start_epoch <= earlier_epoch <= epoch
             ),
             default=math.inf,
         )
         ttl_s = self.view.settings.reservation_ttl_s
         return min(
             first_majority_at + self.view.settings.strict_lease_s + ttl_s,
-            self._handover_received_at(endpoint, start) + ttl_s,
+            self._handover_received_at(endpoint, start_epoch) + ttl_s,
         )
 
-    def _handover_received_at(self, endpoint: str, start: int) -> float:
-        predecessor = self.history.owner_of(endpoint, start - 1)
+    def _handover_received_at(self, endpoint: str, start_epoch: int) -> float:
+        predecessor = self.history.owner_of(endpoint, start_epoch - 1)
         handover = self.handovers.get((endpoint, predecessor))
         if not predecessor or handover is None:
             return math.inf
         predecessor_start = self.history.ownership_start_epoch(
-            endpoint, start - 1
+            endpoint, start_epoch - 1
         )
-        if not predecessor_start <= handover.epoch < start:
+        if not predecessor_start <= handover.epoch < start_epoch:
             return math.inf
         return handover.received_at
 
--- a/src/auburnswitch/members/peer_link.py
+++ b/src/auburnswitch/members/peer_link.py
@@ -32,6 +32,7 @@
         consecutive_timeouts: Consecutive calls without a reply within the
             timeout.
         heartbeat_requested: Set when the next heartbeat is due immediately.
+        rng: Random generator for the backoff jitter.
     """
 
     __slots__ = (
@@ -53,14 +54,14 @@
         member_id: str,
         settings: PeersSettings,
         shared_key: bytes,
-        seed: int,
+        rng_seed: int,
         dial: Dialer = asyncio.open_connection,
     ) -> None:
         self.member = member
         self.member_id = member_id
         self.settings = settings
         self.shared_key = shared_key
-        self.rng = random.Random(f"{seed}{member.id}")
+        self.rng = random.Random(f"{rng_seed}{member.id}")
         self.dial = dial
         self.heartbeat_requested = asyncio.Event()
         self.consecutive_timeouts = 0
--- a/src/auburnswitch/members/peer_server.py
+++ b/src/auburnswitch/members/peer_server.py
@@ -37,18 +37,18 @@
         handlers: Handler by message class; receives the message and the peer's
             member id and returns the reply, if there is one.
         port: TCP port of the listener.
-        connections: Writers of the open connections.
+        writers: Writers of the open connections.
         connection_tasks: Tasks that serve the open connections.
     """
 
     __slots__ = (
         "connection_tasks",
-        "connections",
         "handlers",
         "member_id",
         "port",
         "settings",
         "shared_key",
+        "writers",
     )
 
     def __init__(
@@ -59,7 +59,7 @@
         self.shared_key = shared_key
         self.handlers: dict[type[Struct], MessageHandler] = {}
         self.port = settings.port
-        self.connections: set[asyncio.StreamWriter] = set()
+        self.writers: set[asyncio.StreamWriter] = set()
         self.connection_tasks: set[asyncio.Task[None]] = set()
 
     @contextlib.asynccontextmanager
@@ -80,7 +80,7 @@
             yield
         finally:
             server.close()
-            for writer in list(self.connections):
+            for writer in list(self.writers):
                 writer.transport.abort()
             if self.connection_tasks:
                 await asyncio.wait(
@@ -94,7 +94,7 @@
         assert task is not None
         self.connection_tasks.add(task)
         task.add_done_callback(self.connection_tasks.discard)
-        self.connections.add(writer)
+        self.writers.add(writer)
         try:
             connection = await accept_peer(
                 reader,
@@ -110,7 +110,7 @@
         except (OSError, EOFError, TimeoutError):
             pass  # the peer closed the connection or is too slow
         finally:
-            self.connections.discard(writer)
+            self.writers.discard(writer)
             writer.close()
 
     async def _handle_calls(
--- a/src/auburnswitch/members/relay_selector.py
+++ b/src/auburnswitch/members/relay_selector.py
@@ -47,7 +47,7 @@
         now = monotonic_s()
         if now - self._refreshed_at >= RELAY_REFRESH_INTERVAL_S:
             self._refreshed_at = now
-            self._relays = self._choose()
+            self._relays = self._choose_relays()
         return self._relays.get(zone, "")
 
     def is_relay(self) -> bool:
@@ -56,7 +56,7 @@
             self.relay_for(self.local_record.zone) == self.local_record.instance
         )
 
-    def _choose(self) -> dict[str, str]:
+    def _choose_relays(self) -> dict[str, str]:
         zones = {self.local_record.zone: [self.local_record]}
         for peer in self.live_peers():
             zones.setdefault(peer.record.zone, []).append(peer.record)
--- a/src/auburnswitch/members/signed_frames.py
+++ b/src/auburnswitch/members/signed_frames.py
@@ -23,7 +23,7 @@
 MAC_BYTES: Final = 16
 COMPRESSION_THRESHOLD_BYTES: Final = 300
 MAX_MESSAGE_BYTES: Final = 64 * 1024 * 1024
-_PLAIN: Final = b"\0"
+_UNCOMPRESSED: Final = b"\0"
 _COMPRESSED: Final = b"\1"
 _COMPRESSION_LEVEL: Final = 1  # fastest
 _PROTOCOL: Final = TBinaryProtocolFactory()
@@ -48,7 +48,7 @@
     """Encodes and signs a message."""
     payload = serialize(message, _PROTOCOL)
     if len(payload) < COMPRESSION_THRESHOLD_BYTES:
-        payload = _PLAIN + payload
+        payload = _UNCOMPRESSED + payload
     else:
         payload = _COMPRESSED + zlib.compress(payload, _COMPRESSION_LEVEL)
     return _mac(key, payload) + payload
@@ -79,7 +79,7 @@
         ValueError: The message is too long or truncated.
         zlib.error: The message is not compressed correctly.
     """
-    if payload[:1] == _PLAIN:
+    if payload[:1] == _UNCOMPRESSED:
         return payload[1:]
     decompressor = zlib.decompressobj()
     message = decompressor.decompress(payload[1:], MAX_MESSAGE_BYTES)
--- a/src/auburnswitch/members/state_exchange.py
+++ b/src/auburnswitch/members/state_exchange.py
@@ -45,7 +45,7 @@
 
     Attributes:
         installation: This daemon's state.
-        key: Returns the key that all daemons share, empty if not available.
+        get_key: Returns the key that all daemons share, empty until available.
         live_peers: Returns the live peers.
         zone: This daemon's availability zone.
         rng: Random generator for delays and the choice of peers.
@@ -53,8 +53,8 @@
 
     __slots__ = (
         "_fetching",
+        "get_key",
         "installation",
-        "key",
         "live_peers",
         "rng",
         "zone",
@@ -64,13 +64,13 @@
         self,
         *,
         installation: Installation,
-        key: Callable[[], bytes],
+        get_key: Callable[[], bytes],
         live_peers: Callable[[], list[GossipPeer]],
         zone: str,
         rng: random.Random,
     ) -> None:
         self.installation = installation
-        self.key = key
+        self.get_key = get_key
         self.live_peers = live_peers
         self.zone = zone
         self.rng = rng
@@ -154,9 +154,9 @@
                 endpoints_revision=state.endpoints_revision,
                 closed_zones_revision=state.closed_zones_revision,
             )
-            _write_frame(writer, self.key(), fetch)
+            _write_frame(writer, self.get_key(), fetch)
             frame = await _read_frame(reader)
-            return decode_signed(self.key(), frame, StateUpdate())
+            return decode_signed(self.get_key(), frame, StateUpdate())
         finally:
             writer.close()
 
@@ -174,8 +174,8 @@
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 frame = await _read_frame(reader)
-                fetch = decode_signed(self.key(), frame, StateFetch())
-                _write_frame(writer, self.key(), self._build_update(fetch))
+                fetch = decode_signed(self.get_key(), frame, StateFetch())
+                _write_frame(writer, self.get_key(), self._build_update(fetch))
                 await writer.drain()
         except _EXCHANGE_ERRORS as error:
             log_event(EventId.PEER_EXCHANGE_FAILED, reason=repr(error))
--- a/tests/members/test_frames.py
+++ b/tests/members/test_frames.py
@@ -170,7 +170,7 @@
             async with asyncio.timeout(5):
                 while await reader.read(100):
                     pass
-            self.assertEqual(server.connections, set())
+            self.assertEqual(server.writers, set())
 
         self.run_with_server(scenario)
 
@@ -218,7 +218,7 @@
         async def scenario(server):
             async with self.connect(server) as connection:
                 await asyncio.sleep(1)
-                [writer] = server.connections
+                [writer] = server.writers
                 writer.transport.pause_reading()
                 message = wrap_message(StateRequest(state_digest="x" * 4096))
                 with (
@@ -240,7 +240,7 @@
                 member_id="a",
                 settings=server.settings,
                 shared_key=KEY,
-                seed=1,
+                rng_seed=1,
             )
             running = asyncio.create_task(link.run())
             await asyncio.sleep(1)
@@ -261,7 +261,7 @@
                 member_id="a",
                 settings=PeersSettings(),
                 shared_key=KEY,
-                seed=seed,
+                rng_seed=seed,
             )
             return [link.rng.uniform(0.5, 1.0) for _ in range(3)]
 
