--- a/tests/endpoints/fleet_harness.py
+++ b/tests/endpoints/fleet_harness.py
@@ -53,7 +53,7 @@
 
 
 class RecordingEngineProxy:
-    """Forwards a batch's calls to its engine and records load changes."""
+    """Forwards a batch's calls to its engine; records each load change."""
 
     def __init__(
         self, engine: EngineStandIn, recorder: ColdLoadRecorder
@@ -160,7 +160,7 @@
             if isolated.member.id in daemon.membership.links
         ]
 
-    def crashes(self) -> list[str]:
+    def crashed_engines(self) -> list[str]:
         """Returns the engines that crashed from load while cold."""
         return [
             record.actor
--- a/tests/endpoints/manager_support.py
+++ b/tests/endpoints/manager_support.py
@@ -57,12 +57,12 @@
         return self.isolated
 
 
-def endpoint(**values: Any) -> Endpoint:
-    """Returns an endpoint."""
+def make_endpoint(**values: Any) -> Endpoint:
+    """Returns an endpoint of SERVICE in ZONE."""
     return Endpoint(service=SERVICE, zone=ZONE, host="127.0.0.1", **values)
 
 
-def changes(spec: Endpoint, *, zone_out: bool = False) -> list[Change]:
+def make_changes(spec: Endpoint, *, zone_out: bool = False) -> list[Change]:
     """Returns the changes that configure one endpoint."""
     zone = AvailabilityZone(out=zone_out)
     return [
@@ -79,7 +79,9 @@
     settings = Settings()
     view = MemberView(local_member=Member(id="me"), settings=settings.members)
     state = ConfigState()
-    state.join_ticket(Ticket(number=1, changes=changes(endpoint(**values))))
+    state.join_ticket(
+        Ticket(number=1, changes=make_changes(make_endpoint(**values)))
+    )
     manager = EndpointManager(
         settings=settings,
         view=view,
@@ -112,8 +114,8 @@
     "FakeMembership",
     "FakeLeases",
     "make_reserve_request",
-    "changes",
+    "make_changes",
     "make_reservation_client",
-    "endpoint",
+    "make_endpoint",
     "make_endpoint_manager",
 ]
--- a/tests/endpoints/test_cold_bound.py
+++ b/tests/endpoints/test_cold_bound.py
@@ -13,10 +13,8 @@
 MAX_COLD_RUNNING = 2
 MAX_COLD_TOKENS = 20_000
 ENGINE = "engine-0"
-REQUESTS_PER_S = (
-    1.5  # requests per second, about the capacity of the cold engines
-)
-NEVER_WARM = 100_000
+REQUESTS_PER_S = 1.5  # about the capacity of the cold engines
+NEVER_WARM_AFTER = 100_000  # successes, more than any test reaches
 ANSWER_TOKENS = 100  # 2.5 s at the engine's decode step
 TAKEOVER_WAIT_S = 20  # roster removal, lease wait, listing of work
 
@@ -26,15 +24,15 @@
     return {
         "daemons": 5,
         "engines": 2,
-        "engine": EngineOptions(warm_after=NEVER_WARM),
-        "endpoint": {"warm_after": NEVER_WARM},
+        "engine": EngineOptions(warm_after=NEVER_WARM_AFTER),
+        "endpoint": {"warm_after": NEVER_WARM_AFTER},
     }
 
 
 class ColdBoundTest(unittest.TestCase):
     def check(self, harness: FleetHarness) -> None:
         """Checks that the limit was reached and never exceeded."""
-        self.assertEqual(harness.crashes(), [])
+        self.assertEqual(harness.crashed_engines(), [])
         self.assertEqual(
             harness.load_recorders[ENGINE].running, MAX_COLD_RUNNING
         )
@@ -44,7 +42,7 @@
         self.assertGreater(harness.statuses.count(200), 0)
 
     def run_cold(self, scenario) -> None:
-        """Runs a scenario on a fleet with cold engines under load."""
+        """Runs a scenario on cold engines under load and checks their limit."""
 
         async def run():
             async with open_harness(**cold_fleet_options()) as harness:
@@ -66,7 +64,7 @@
 
     def test_prompts_that_only_fit_one_at_a_time(self):
         async def scenario(harness):
-            await harness.finish()  # short ones would take precedence
+            await harness.finish()  # short prompts would take precedence
             await harness.load(
                 10, 1, tokens=MAX_COLD_TOKENS * 6 // 10, answer=ANSWER_TOKENS
             )
--- a/tests/endpoints/test_cold_resets.py
+++ b/tests/endpoints/test_cold_resets.py
@@ -22,22 +22,22 @@
                 await harness.load(3, 10)
                 reset(harness.fleet.engines[ENGINE])
                 await harness.load(5, 10)
-                restarted = harness.load_recorders[ENGINE]
-                restarted.running = restarted.tokens = 0
+                recorder = harness.load_recorders[ENGINE]
+                recorder.running = recorder.tokens = 0
                 await harness.load(25, 10)
                 await harness.finish()
                 self.assertEqual(harness.phase(ENGINE), "WARM")
                 self.assertEqual(set(harness.statuses), {200})
-                self.assertLessEqual(restarted.running, MAX_COLD_RUNNING)
+                self.assertLessEqual(recorder.running, MAX_COLD_RUNNING)
                 return harness
 
         return run_virtual(run, FreezableLoop)
 
     def test_restart(self):
         harness = self.run_reset(lambda engine: engine.crash())
-        self.assertEqual(harness.crashes(), [])
+        self.assertEqual(harness.crashed_engines(), [])
 
     def test_reset_without_a_new_boot_id(self):
         harness = self.run_reset(lambda engine: engine.turn_cold())
         # The reset can't be detected before the engine has crashed once.
-        self.assertLessEqual(len(harness.crashes()), 1)
+        self.assertLessEqual(len(harness.crashed_engines()), 1)
--- a/tests/endpoints/test_engine_reconciler.py
+++ b/tests/endpoints/test_engine_reconciler.py
@@ -53,13 +53,13 @@
 
 
 class LeaseLosingAllocator:
-    """Allocator during whose call the lease expires, as in a pause."""
+    """Loses the lease while it allocates, as if the daemon were paused."""
 
     def __init__(self, leases) -> None:
         self.leases = leases
 
     async def allocate(self, _, *, last_seen=0):
-        """Allocates a number and revokes the lease."""
+        """Revokes the lease and allocates a number."""
         self.leases.held = False
         return Ok(last_seen + 1)
 
--- a/tests/endpoints/test_groups.py
+++ b/tests/endpoints/test_groups.py
@@ -22,7 +22,7 @@
 from auburnswitch.schema.results import ResultCode
 from tests.endpoints.manager_support import (
     FakeMembership,
-    endpoint,
+    make_endpoint,
     make_endpoint_manager,
 )
 from tests.virtual_time import run_virtual
@@ -32,7 +32,7 @@
 ATTEMPT = Attempt(request_id="r1", number=1, member_id="me")
 
 
-def parts(*names: str) -> list[ReserveRequest]:
+def make_parts(*names: str) -> list[ReserveRequest]:
     """Returns the requests of a group."""
     return [
         ReserveRequest(endpoint=name, request_id="r1", prompt_tokens=TOKENS)
@@ -56,7 +56,11 @@
         async def run():
             manager = make_endpoint_manager()
             changes = [
-                Change(kind=ObjectKind.ENDPOINT, name=name, endpoint=endpoint())
+                Change(
+                    kind=ObjectKind.ENDPOINT,
+                    name=name,
+                    endpoint=make_endpoint(),
+                )
                 for name in NAMES
             ]
             manager.state.join_ticket(Ticket(number=2, changes=changes))
@@ -73,23 +77,23 @@
 
         return run_virtual(run)
 
-    def held_tokens(self, manager) -> list[int]:
+    def reserved_tokens(self, manager) -> list[int]:
         """Returns the reserved memory of each engine, in tokens."""
         return [manager.ledgers[name].reserved_tokens for name in NAMES]
 
     def test_all_parts_are_held_until_released(self):
         async def scenario(manager, client):
-            group = await reserve_group(client, parts(*reversed(NAMES)))
+            group = await reserve_group(client, make_parts(*reversed(NAMES)))
             await asyncio.sleep(60)
             client.report_local_reservations()
             client.report_local_reservations()
             for held in group:
                 client.begin_dispatch(held, ATTEMPT)
-            during = self.held_tokens(manager)
+            during = self.reserved_tokens(manager)
             release_group(client, group, succeeded=True)
             await asyncio.sleep(0)
             order = [held.endpoint for held in group]
-            return order, during, self.held_tokens(manager)
+            return order, during, self.reserved_tokens(manager)
 
         order, during, after = self.run_group(scenario)
         self.assertEqual(order, list(reversed(NAMES)))
@@ -97,11 +101,11 @@
 
     def test_one_full_endpoint_releases_every_part(self):
         async def scenario(manager, client):
-            await client.reserve(parts(NAMES[2])[0])
-            reply = await reserve_group(client, parts(*NAMES))
+            await client.reserve(make_parts(NAMES[2])[0])
+            reply = await reserve_group(client, make_parts(*NAMES))
             await asyncio.sleep(0)
             self.assertIsInstance(reply, ReserveReply)
-            return reply.code, self.held_tokens(manager)
+            return reply.code, self.reserved_tokens(manager)
 
         self.assertEqual(
             self.run_group(scenario), (ResultCode.QUEUE_FULL, [0, 0, TOKENS])
@@ -109,16 +113,16 @@
 
     def test_cancelled_group_releases_every_part(self):
         async def scenario(manager, client):
-            await client.reserve(parts(NAMES[2])[0])
-            requests = parts(*NAMES)
+            await client.reserve(make_parts(NAMES[2])[0])
+            requests = make_parts(*NAMES)
             for request in requests:
                 request.max_wait_s = 9
             task = asyncio.create_task(reserve_group(client, requests))
             await asyncio.sleep(1)
-            waiting = self.held_tokens(manager)
+            waiting = self.reserved_tokens(manager)
             task.cancel()
             await asyncio.sleep(0.1)
-            return waiting, self.held_tokens(manager)
+            return waiting, self.reserved_tokens(manager)
 
         waiting, after = self.run_group(scenario)
         self.assertEqual(waiting, [TOKENS] * 3)
@@ -126,7 +130,7 @@
 
     def test_two_groups_do_not_deadlock(self):
         async def scenario(manager, client):
-            first, second = parts(*NAMES), parts(*reversed(NAMES))
+            first, second = make_parts(*NAMES), make_parts(*reversed(NAMES))
             for request in first + second:
                 request.max_wait_s = 9
             tasks = [
@@ -138,18 +142,18 @@
             )
             release_group(client, done.pop().result())
             await asyncio.gather(*tasks)
-            return self.held_tokens(manager)
+            return self.reserved_tokens(manager)
 
         self.assertEqual(self.run_group(scenario), [TOKENS] * 3)
 
     def test_cold_endpoint_joins_no_group(self):
         async def scenario(manager, client):
-            group = await reserve_group(client, parts(*NAMES))
+            group = await reserve_group(client, make_parts(*NAMES))
             manager.on_load_report(NAMES[0], LoadReport(boot_id="b2"), 0.0)
             with self.assertRaises(DispatchRefusedError):
                 client.begin_dispatch(group[0], ATTEMPT)
             release_group(client, group)
             await asyncio.sleep(0)
-            return (await reserve_group(client, parts(*NAMES))).code
+            return (await reserve_group(client, make_parts(*NAMES))).code
 
         self.assertEqual(self.run_group(scenario), ResultCode.NO_ENDPOINT)
--- a/tests/endpoints/test_handover.py
+++ b/tests/endpoints/test_handover.py
@@ -40,8 +40,8 @@
             Handover(endpoint_manager=new).apply_request(request)
             new.on_load_report(ENGINE, LoadReport(boot_id="b1"), 0.0)
             ledger = new.ledgers[ENGINE]
-            held = [r.member_id for r in ledger.reservations.values()]
-            return ledger.phase, ledger.max_running, held
+            holder_ids = [r.member_id for r in ledger.reservations.values()]
+            return ledger.phase, ledger.max_running, holder_ids
 
         self.assertEqual(
             run_virtual(scenario), (EndpointPhase.WARMING, 5, ["peer"])
--- a/tests/endpoints/test_orphans.py
+++ b/tests/endpoints/test_orphans.py
@@ -32,13 +32,13 @@
     from aiohttp import ClientSession
 
 ENGINE = "engine-0"
-LONG_ANSWER = 1600  # 40 s at the engine's decode step
+LONG_ANSWER_TOKENS = 1600  # 40 s at the engine's decode step
 FREED_WITHIN_S = 30.0  # roster removal, lease wait, two rounds and the load lag
 KV_CACHE = {"request_id": "gone", "attempt": 1, "prompt": "word" * 500}
 
 
-async def wait_empty(harness: FleetHarness) -> float:
-    """Returns the time until the engine's memory is free, in seconds."""
+async def wait_until_empty(harness: FleetHarness) -> float:
+    """Waits until the engine's memory is free; returns the time in seconds."""
     start = monotonic_s()
     engine = harness.fleet.engines[ENGINE]
     async with asyncio.timeout(FREED_WITHIN_S):
@@ -50,7 +50,7 @@
 async def start_long_requests(harness: FleetHarness, entry: str) -> None:
     """Starts two long requests through one daemon and waits for both to run."""
     for _ in range(2):
-        harness.send(entry, answer=LONG_ANSWER)
+        harness.send(entry, answer=LONG_ANSWER_TOKENS)
     async with asyncio.timeout(FREED_WITHIN_S):
         while len(harness.fleet.engines[ENGINE].batch.jobs()) < 2:
             await asyncio.sleep(0.1)
@@ -63,7 +63,11 @@
         "X-Attempt": "1",
         "X-Member-Id": member_id,
     }
-    body = {"model": "", "prompt": "word" * 100, "max_tokens": LONG_ANSWER}
+    body = {
+        "model": "",
+        "prompt": "word" * 100,
+        "max_tokens": LONG_ANSWER_TOKENS,
+    }
     async with session.post(
         url + "/v1/completions", json=body, headers=headers
     ) as response:
@@ -71,7 +75,7 @@
             await response.read()
 
 
-def cancelled(harness: FleetHarness) -> list[HistoryRecord]:
+def cancellations(harness: FleetHarness) -> list[HistoryRecord]:
     """Returns the cancellations that engines have recorded."""
     return list(harness.fleet.history.select(HistoryKind.REQUEST_CANCELLED))
 
@@ -147,7 +151,7 @@
                 link = ClaimingLink()
                 collector.reservations.membership.links["p"] = link
                 ledger = collector.endpoint_manager.ledgers[ENGINE]
-                used = []
+                in_use = []
                 for claims in (True, False):
                     link.claims = claims
                     for _ in range(6):
@@ -155,8 +159,8 @@
                         peer.last_received_at = monotonic_s()
                         await asyncio.sleep(2)
                         await collector.collect_if_due(ledger)
-                    used.append(engine.batch.memory_used_tokens > 0)
-                return used
+                    in_use.append(engine.batch.memory_used_tokens > 0)
+                return in_use
 
         self.assertEqual(run_virtual(scenario), [True, False])
 
@@ -176,7 +180,7 @@
             entry = non_owner_instance(harness.owner_of(ENGINE))
             await start_long_requests(harness, entry)
             harness.fleet.kill_daemon(number_of(entry))
-            return await wait_empty(harness)
+            return await wait_until_empty(harness)
 
         self.assertLess(self.run_harness(scenario), FREED_WITHIN_S)
 
@@ -188,9 +192,9 @@
             harness.fleet.kill_daemon(number_of(entry))
             harness.fleet.kill_daemon(number_of(owner))
             load = asyncio.create_task(harness.load(30, 2))
-            took_s = await wait_empty_of(harness, entry)
+            took_s = await wait_until_streams_end(harness, entry)
             await load
-            self.assertEqual(harness.crashes(), [])
+            self.assertEqual(harness.crashed_engines(), [])
             return took_s
 
         self.assertLess(self.run_harness(scenario), FREED_WITHIN_S)
@@ -204,7 +208,7 @@
                 url, json=KV_CACHE, headers=headers | {"X-Attempt": "1"}
             ) as response:
                 self.assertEqual(response.status, 200)
-            return await wait_empty(harness)
+            return await wait_until_empty(harness)
 
         self.assertLess(self.run_harness(scenario), 10)
 
@@ -221,7 +225,7 @@
             entry = non_owner_instance(harness.owner_of(ENGINE))
             await start_long_requests(harness, entry)
             await harness.finish()
-            return harness.statuses, cancelled(harness)
+            return harness.statuses, cancellations(harness)
 
         self.assertEqual(
             self.run_harness(scenario, customize_settings=customize_settings),
@@ -239,7 +243,7 @@
             await asyncio.sleep(25)
             harness.fleet.thaw_daemon(number_of(entry))
             await harness.finish()
-            return harness.statuses, cancelled(harness)
+            return harness.statuses, cancellations(harness)
 
         self.assertEqual(
             self.run_harness(scenario, customize_settings=customize_settings),
@@ -247,8 +251,8 @@
         )
 
 
-async def wait_empty_of(harness: FleetHarness, entry: str) -> float:
-    """Returns the time until a daemon's streams have ended, in seconds."""
+async def wait_until_streams_end(harness: FleetHarness, entry: str) -> float:
+    """Waits until a daemon's streams end; returns the time in seconds."""
     start = monotonic_s()
     engine = harness.fleet.engines[ENGINE]
     async with asyncio.timeout(FREED_WITHIN_S):
--- a/tests/endpoints/test_phases.py
+++ b/tests/endpoints/test_phases.py
@@ -21,8 +21,8 @@
 from auburnswitch.schema.results import ResultCode
 from tests.endpoints.manager_support import (
     ENGINE,
-    changes,
-    endpoint,
+    make_changes,
+    make_endpoint,
     make_endpoint_manager,
     make_reservation_client,
     make_reserve_request,
@@ -34,7 +34,7 @@
 COLD_FIRST_TOKEN_S = 0.6
 
 
-class Driver:
+class EndpointDriver:
     """Runs requests on one endpoint of an endpoint manager."""
 
     def __init__(self, **values) -> None:
@@ -61,24 +61,24 @@
         for _ in range(count):
             await self.run()
 
-    def load(self, **values) -> None:
+    def report_load(self, **values) -> None:
         """Applies a load report."""
         report = LoadReport(**({"boot_id": "b1"} | values))
         self.manager.on_load_report(ENGINE, report, monotonic_s())
 
-    def apply(self, number: int, *, out: bool) -> None:
-        """Takes the zone out of service or returns it to service."""
-        spec = endpoint(warm_after=WARM_AFTER)
-        ticket = Ticket(number=number, changes=changes(spec, zone_out=out))
+    def set_zone_out(self, number: int, *, out: bool) -> None:
+        """Takes the zone out of service, or back, by the numbered ticket."""
+        spec = make_endpoint(warm_after=WARM_AFTER)
+        ticket = Ticket(number=number, changes=make_changes(spec, zone_out=out))
         self.manager.state.join_ticket(ticket)
 
 
 class PhaseTest(unittest.TestCase):
-    def run_when_warm(self, scenario, **values) -> Driver:
+    def run_when_warm(self, scenario, **values) -> EndpointDriver:
         """Returns the driver once a scenario has run on a warm endpoint."""
 
         async def run():
-            driver = Driver(**values)
+            driver = EndpointDriver(**values)
             await driver.succeed(60)
             self.assertEqual(driver.ledger.phase, EndpointPhase.WARM)
             await scenario(driver)
@@ -86,7 +86,7 @@
 
         return run_virtual(run)
 
-    def assert_cold(self, driver: Driver) -> None:
+    def assert_cold(self, driver: EndpointDriver) -> None:
         """Checks that the limits of a cold endpoint apply."""
         self.assertEqual(driver.ledger.phase, EndpointPhase.COLD)
         spec = driver.ledger.spec
@@ -94,7 +94,7 @@
 
     def test_limit_rises_on_successes_and_halves_on_a_failure(self):
         async def scenario():
-            driver = Driver()
+            driver = EndpointDriver()
             limits = []
             for _ in range(WARM_AFTER - 1):
                 await driver.run()
@@ -111,7 +111,7 @@
 
     def test_undetected_reset_in_the_cold_phase(self):
         async def scenario():
-            driver = Driver()
+            driver = EndpointDriver()
             served = 0  # by the engine since it became cold
             while served < WARM_AFTER:
                 await driver.run(first_token_s=COLD_FIRST_TOKEN_S)
@@ -126,20 +126,20 @@
 
     def test_endpoint_that_is_always_slow_becomes_warm(self):
         async def scenario():
-            driver = Driver()
+            driver = EndpointDriver()
             for _ in range(2 * WARM_AFTER):
                 await driver.run(first_token_s=COLD_FIRST_TOKEN_S)
             self.assertEqual(driver.ledger.phase, EndpointPhase.WARMING)
 
         run_virtual(scenario)
 
-    def test_new_boot_id_is_cold(self):
+    def test_new_boot_id_resets_to_cold(self):
         async def scenario(driver):
-            driver.load(boot_id="b2")
+            driver.report_load(boot_id="b2")
 
         self.assert_cold(self.run_when_warm(scenario))
 
-    def test_dropped_connection_is_cold(self):
+    def test_dropped_connection_resets_to_cold(self):
         async def scenario(driver):
             await driver.run(succeeded=False, endpoint_lost=True)
 
@@ -158,14 +158,14 @@
         )
         self.assertEqual(driver.ledger.warm_up.generation, generation)
 
-    def test_slow_first_tokens_are_cold(self):
+    def test_slow_first_tokens_reset_to_cold(self):
         async def scenario(driver):
             for _ in range(3):
                 await driver.run(first_token_s=5)
 
         self.assert_cold(self.run_when_warm(scenario))
 
-    def test_nonconsecutive_slow_first_tokens_stay_warm(self):
+    def test_nonconsecutive_slow_first_tokens_are_tolerated(self):
         async def scenario(driver):
             await driver.run(first_token_s=5)
             await driver.succeed(3)
@@ -174,23 +174,23 @@
         driver = self.run_when_warm(scenario)
         self.assertEqual(driver.ledger.phase, EndpointPhase.WARM)
 
-    def test_report_without_the_known_work_is_cold(self):
+    def test_reports_without_the_known_work_reset_to_cold(self):
         async def scenario(driver):
             await driver.begin()
             for _ in range(8):
                 await asyncio.sleep(1)
                 driver.client.report_local_reservations()
-                driver.load()
+                driver.report_load()
 
         self.assert_cold(self.run_when_warm(scenario))
 
     def test_lagging_report_is_ignored(self):
         async def scenario(driver):
             await driver.begin()
-            driver.load()
+            driver.report_load()
             await asyncio.sleep(1)
             driver.client.report_local_reservations()
-            driver.load()
+            driver.report_load()
 
         driver = self.run_when_warm(scenario)
         self.assertEqual(driver.ledger.phase, EndpointPhase.WARM)
@@ -201,15 +201,15 @@
                 driver.manager.record_unreachable(ENGINE)
             reply = await driver.manager.reserve(make_reserve_request(), "me")
             self.assertEqual(reply.code, ResultCode.NO_ENDPOINT)
-            driver.load()
+            driver.report_load()
 
         self.assert_cold(self.run_when_warm(scenario))
 
-    def test_zone_that_returns_is_cold(self):
+    def test_endpoint_is_cold_when_its_zone_returns(self):
         async def scenario(driver):
             held = await driver.begin()
-            driver.apply(2, out=True)
-            driver.apply(3, out=False)
+            driver.set_zone_out(2, out=True)
+            driver.set_zone_out(3, out=False)
             await driver.client.release(held, succeeded=True)
 
         driver = self.run_when_warm(scenario)
@@ -219,7 +219,7 @@
     def test_engine_reports_that_it_is_leaving(self):
         async def scenario(driver):
             held = await driver.client.reserve(make_reserve_request())
-            driver.load(leaving=True)
+            driver.report_load(leaving=True)
             reply = await driver.manager.reserve(make_reserve_request(), "me")
             self.assertEqual(reply.code, ResultCode.NO_ENDPOINT)
             attempt = Attempt(request_id="r", number=1, member_id="me")
@@ -253,11 +253,13 @@
             ],
         )
 
+    # g: reserve; s, l: release with success or failure; b: new boot id;
+    # d: failed load read; u: load report; p: pause.
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.lists(st.sampled_from("slgbdup"), max_size=60))
     def test_cold_limit_holds_for_any_order_of_events(self, events):
         async def scenario():
-            driver = Driver()
+            driver = EndpointDriver()
             held = []
             for event in events:
                 match event:
@@ -272,11 +274,11 @@
                                 reservation, succeeded=event == "s"
                             )
                     case "b":
-                        driver.load(boot_id=f"b{len(held)}")
+                        driver.report_load(boot_id=f"b{len(held)}")
                     case "d":
                         driver.manager.record_unreachable(ENGINE)
                     case "u":
-                        driver.load()
+                        driver.report_load()
                     case "p":
                         driver.manager.on_pause()
 
--- a/tests/endpoints/test_queue.py
+++ b/tests/endpoints/test_queue.py
@@ -21,13 +21,13 @@
     """Grants requests while tokens are free and records the grant order."""
 
     def __init__(self, tokens):
-        self.free = tokens
+        self.free_tokens = tokens
         self.granted = []
 
     def try_reserve(self, request, _):
-        if request.prompt_tokens > self.free:
+        if request.prompt_tokens > self.free_tokens:
             return None
-        self.free -= request.prompt_tokens
+        self.free_tokens -= request.prompt_tokens
         self.granted.append(request.request_id)
         return ReserveReply(reservation_id=request.request_id)
 
@@ -60,7 +60,7 @@
             capacity = FakeCapacity(0)
             queue, tasks = await queue_all(capacity, requests, gap_s=gap_s)
             await asyncio.sleep(wait_s)
-            capacity.free = 10**9
+            capacity.free_tokens = 10**9
             queue.grant_waiting()
             await asyncio.gather(*tasks)
             return capacity.granted
@@ -100,7 +100,7 @@
             ]
             queue, tasks = await queue_all(capacity, requests)
             before = list(capacity.granted)
-            capacity.free = 9
+            capacity.free_tokens = 9
             queue.grant_waiting()
             for task in tasks:
                 task.cancel()
@@ -116,7 +116,7 @@
             )
 
             def grant():
-                capacity.free = 1
+                capacity.free_tokens = 1
                 queue.grant_waiting()
 
             asyncio.get_running_loop().call_later(1.0, grant)
@@ -148,7 +148,7 @@
                 for n, (tokens, length, team, wait_s) in enumerate(requested)
             ]
             queue, tasks = await queue_all(capacity, requests, gap_s=0.5)
-            capacity.free += 30
+            capacity.free_tokens += 30
             queue.grant_waiting()
             replies = await asyncio.gather(*tasks)
             ok = [r.reservation_id for r in replies if r.code == ResultCode.OK]
--- a/tests/endpoints/test_reservations.py
+++ b/tests/endpoints/test_reservations.py
@@ -20,8 +20,8 @@
 from auburnswitch.schema.settings import PeersSettings
 from tests.endpoints.manager_support import (
     ENGINE,
-    changes,
-    endpoint,
+    make_changes,
+    make_endpoint,
     make_endpoint_manager,
     make_reservation_client,
     make_reserve_request,
@@ -107,7 +107,7 @@
             manager = make_endpoint_manager()
             client = make_reservation_client(manager)
             held = await client.reserve(make_reserve_request())
-            out = changes(endpoint(), zone_out=True)
+            out = make_changes(make_endpoint(), zone_out=True)
             manager.state.join_ticket(Ticket(number=2, changes=out))
             with self.assertRaises(DispatchRefusedError):
                 client.begin_dispatch(held, ATTEMPT)
--- a/tests/endpoints/test_unschedulable.py
+++ b/tests/endpoints/test_unschedulable.py
@@ -98,18 +98,18 @@
             await harness.load(20, 4)
             self.assertEqual(harness.phase(ENGINE), "WARM")
 
-        _, last_start_s = self.run_unschedulable(
+        _, last_start_delay_s = self.run_unschedulable(
             make_unschedulable, restore=restore
         )
-        self.assertLess(last_start_s, MAX_DELAY_S)
+        self.assertLess(last_start_delay_s, MAX_DELAY_S)
 
     def test_leaving_instance(self):
         async def make_unschedulable(harness):
             instances = harness.fleet.platform.instances
             instances.set(ENGINE, ZONE, InstanceState.LEAVING)
 
-        _, last_start_s = self.run_unschedulable(make_unschedulable)
-        self.assertLess(last_start_s, MAX_DELAY_S + INSTANCE_LAG_S)
+        _, last_start_delay_s = self.run_unschedulable(make_unschedulable)
+        self.assertLess(last_start_delay_s, MAX_DELAY_S + INSTANCE_LAG_S)
 
     def test_next_daemon_reads_the_instance_list(self):
         async def run():
@@ -121,7 +121,6 @@
                     for d in daemons.values()
                     if d.instance_list_reader.last_read_succeeded
                 )
-
                 reader.store = FailingStore()
                 instances = harness.fleet.platform.instances
                 instances.set(ENGINE, ZONE, InstanceState.LEAVING)
@@ -137,8 +136,8 @@
         async def make_unschedulable(harness):
             harness.fleet.engines[ENGINE].leaving = True
 
-        _, last_start_s = self.run_unschedulable(make_unschedulable)
-        self.assertLess(last_start_s, MAX_DELAY_S)
+        _, last_start_delay_s = self.run_unschedulable(make_unschedulable)
+        self.assertLess(last_start_delay_s, MAX_DELAY_S)
 
     def test_frozen_owner_resumes_after_the_ticket(self):
         async def make_unschedulable(harness):
--- a/tests/members/lease_overlap_checker.py
+++ b/tests/members/lease_overlap_checker.py
@@ -17,8 +17,8 @@
 class LeaseOverlapChecker:
     """Checks that the leases of an endpoint never overlap.
 
-    A reservation may be used for ``RESERVATION_TTL_S`` after it was granted,
-    so the leases of two daemons must be at least that far apart.
+    A reservation may be used for ``RESERVATION_TTL_S`` after its grant, so a
+    lease may start only that long after another daemon's lease has ended.
 
     Attributes:
         fleet: The fleet.
--- a/tests/members/malformed_messages.py
+++ b/tests/members/malformed_messages.py
@@ -27,7 +27,7 @@
     return field * depth + END * (depth + 1)
 
 
-def oversized_size_messages() -> list[bytes]:
+def oversized_count_messages() -> list[bytes]:
     """Returns messages that would keep a decoder busy for very long.
 
     Most state two billion items in a few bytes; one is nested too deeply.
--- a/tests/members/test_cells.py
+++ b/tests/members/test_cells.py
@@ -42,15 +42,17 @@
             Cells(installation=installation, instance=f"entry-{n}")
             for n in range(100)
         ]
-        owned = set()
+        covered = set()
         for cells in fleet:
             self.assertTrue(cells.spans_cells("engines"))
             self.assertFalse(cells.spans_cells("desk"))
-            own = {k.entry.id for k in cells.cell_endpoints("engines")}
-            self.assertLess(len(own), 3 * ENDPOINTS_PER_CELL)
-            self.assertTrue(all(map(cells.is_cell_endpoint, own)))
-            owned |= own
-        self.assertGreater(len(owned), 900)
+            cell_endpoints = {
+                k.entry.id for k in cells.cell_endpoints("engines")
+            }
+            self.assertLess(len(cell_endpoints), 3 * ENDPOINTS_PER_CELL)
+            self.assertTrue(all(map(cells.is_cell_endpoint, cell_endpoints)))
+            covered |= cell_endpoints
+        self.assertGreater(len(covered), 900)
 
     @in_virtual_loop
     def test_daemons_agree_on_cell_peers(self):
--- a/tests/members/test_frames.py
+++ b/tests/members/test_frames.py
@@ -102,7 +102,7 @@
         self.assert_rejected(FrameWriter(key=KEY).encode_payload(truncated))
 
     def test_signed_oversized_item_counts(self):
-        for data in malformed_messages.oversized_size_messages():
+        for data in malformed_messages.oversized_count_messages():
             self.assert_rejected(FrameWriter(key=KEY).encode_payload(data))
 
     @fuzz_settings
--- a/tests/members/test_gossip.py
+++ b/tests/members/test_gossip.py
@@ -22,12 +22,12 @@
 KEY = b"k" * 32
 
 
-class Node:
+class RecordingNode:
     """A gossip node and the messages that it received."""
 
     def __init__(self, name: str, zone: str, port: int):
         self.received: list[tuple[str, Gossip]] = []
-        self.node = GossipNode(
+        self.gossip_node = GossipNode(
             local_record=DaemonRecord(
                 instance=name, zone=zone, host="127.0.0.1", port=port
             ),
@@ -37,7 +37,7 @@
             on_gossip=self._record,
             is_reader=lambda: False,
         )
-        self.node.key = KEY
+        self.gossip_node.key = KEY
         self.sent = 0
 
     def _record(self, peer, message):
@@ -63,21 +63,22 @@
 @contextlib.asynccontextmanager
 async def open_nodes(zones: dict[str, int]):
     nodes = [
-        Node(f"{zone}-{n}", zone, free_port())
+        RecordingNode(f"{zone}-{n}", zone, free_port())
         for zone, count in zones.items()
         for n in range(count)
     ]
     async with contextlib.AsyncExitStack() as stack:
         for node in nodes:
-            await stack.enter_async_context(node.node.open())
+            await stack.enter_async_context(node.gossip_node.open())
             for other in nodes:
                 if other is not node:
-                    node.node.add_peer(other.node.local_record)
+                    node.gossip_node.add_peer(other.gossip_node.local_record)
         for node in nodes:
-            node.node.send_state()  # sent without relays, makes nodes live
+            # State is sent without relays, so all nodes become live.
+            node.gossip_node.send_state()
         await wait_until(
             lambda: all(
-                len(n.node.live_peers()) == len(nodes) - 1 for n in nodes
+                len(n.gossip_node.live_peers()) == len(nodes) - 1 for n in nodes
             )
         )
         yield nodes
@@ -98,7 +99,7 @@
 class GossipTest(unittest.IsolatedAsyncioTestCase):
     async def test_few_daemons_send_to_each_other(self):
         async with open_nodes({"a": 2, "b": 1}) as nodes:
-            nodes[0].node.send_started_work([WorkItem(id=7)])
+            nodes[0].gossip_node.send_started_work([WorkItem(id=7)])
             await wait_until(
                 lambda: all(n.received_items("a-0") == [7] for n in nodes[1:])
             )
@@ -107,11 +108,11 @@
         zones = {"a": 8, "b": 8, "c": 4}
         async with open_nodes(zones) as nodes:
             await asyncio.sleep(RELAY_REFRESH_INTERVAL_S)
-            sender = nodes[3].node
+            sender = nodes[3].gossip_node
             datagram_count = _count_datagrams(sender)
             sender.send_started_work([WorkItem(id=7)])
             self.assertLessEqual(datagram_count(), len(zones))
-            others = [n for n in nodes if n.node is not sender]
+            others = [n for n in nodes if n.gossip_node is not sender]
             await wait_until(
                 lambda: all(
                     n.received_items(sender.local_record.instance)
@@ -126,7 +127,7 @@
 
     async def test_zone_without_a_live_daemon_is_sent_to_directly(self):
         async with open_nodes({"a": 18, "b": 2}) as nodes:
-            sender = nodes[0].node
+            sender = nodes[0].gossip_node
             for peer in sender.peers.values():
                 if peer.record.zone == "b":
                     peer.last_received_at = None  # no live peer, so no relay
@@ -139,10 +140,14 @@
         async with open_nodes({"a": 4}) as nodes:
             _split_into_cells(nodes)
             sender, other_cell_peer, cell_peer, _ = nodes
-            sender.node.send_started_work([WorkItem(id=7)], to_all_cells=False)
-            sender.node.send_started_work([WorkItem(id=8)], to_all_cells=True)
-            sender.node.schedule_ended_work([7], to_all_cells=False)
-            sender.node.schedule_ended_work([8], to_all_cells=True)
+            sender.gossip_node.send_started_work(
+                [WorkItem(id=7)], to_all_cells=False
+            )
+            sender.gossip_node.send_started_work(
+                [WorkItem(id=8)], to_all_cells=True
+            )
+            sender.gossip_node.schedule_ended_work([7], to_all_cells=False)
+            sender.gossip_node.schedule_ended_work([8], to_all_cells=True)
             await wait_until(lambda: cell_peer.received_ended("a-0") == [7, 8])
             await wait_until(
                 lambda: other_cell_peer.received_ended("a-0") == [8]
@@ -154,8 +159,8 @@
         async with open_nodes({"a": 4}) as nodes:
             _split_into_cells(nodes)
             sender, other_cell_peer, cell_peer, _ = nodes
-            sender.node.list_work = lambda: [WorkItem(id=7)]
-            running = asyncio.create_task(sender.node.run())
+            sender.gossip_node.list_work = lambda: [WorkItem(id=7)]
+            running = asyncio.create_task(sender.gossip_node.run())
             await wait_until(
                 lambda: cell_peer.received_items("a-0").count(7) >= 2
             )
@@ -166,11 +171,11 @@
             ]
             self.assertGreaterEqual(
                 len(heartbeats), 2
-            )  # heartbeats still show that it is live
+            )  # heartbeats without work still show that it is live
             self.assertFalse(any(m.complete for m in heartbeats))
 
     async def test_old_and_repeated_datagrams_are_dropped(self):
-        node = Node("me", "a", free_port())
+        node = RecordingNode("me", "a", free_port())
         for incarnation, sequence in (
             (2, 5),
             (2, 5),
@@ -179,20 +184,20 @@
             (2, 6),
             (3, 1),
         ):
-            node.node.datagram_received(
+            node.gossip_node.datagram_received(
                 make_frame("peer", incarnation, sequence), ("127.0.0.1", 1)
             )
         received = [(m.incarnation, m.sequence) for _, m in node.received]
         self.assertEqual(received, [(2, 5), (2, 6), (3, 1)])
 
     async def test_forged_datagram_changes_nothing(self):
-        node = Node("me", "a", free_port())
+        node = RecordingNode("me", "a", free_port())
         forged = bytearray(make_frame("peer", 1, 1))
         forged[-1] ^= 1
-        node.node.datagram_received(bytes(forged), ("127.0.0.1", 1))
-        node.node.datagram_received(b"", ("127.0.0.1", 1))
+        node.gossip_node.datagram_received(bytes(forged), ("127.0.0.1", 1))
+        node.gossip_node.datagram_received(b"", ("127.0.0.1", 1))
         self.assertEqual(node.received, [])
-        self.assertEqual(node.node.peers, {})
+        self.assertEqual(node.gossip_node.peers, {})
 
     def test_received_heartbeats_are_bounded(self):
         for peers in (8, 68, 410):
@@ -200,11 +205,11 @@
             self.assertLessEqual(peers / interval_s, 40)
 
 
-def _split_into_cells(nodes: list[Node]) -> None:
+def _split_into_cells(nodes: list[RecordingNode]) -> None:
     """Assigns the nodes to two cells alternately."""
-    names = [node.node.local_record.instance for node in nodes]
+    names = [node.gossip_node.local_record.instance for node in nodes]
     for number, node in enumerate(nodes):
-        node.node.is_cell_peer = set(names[number % 2 :: 2]).__contains__
+        node.gossip_node.is_cell_peer = set(names[number % 2 :: 2]).__contains__
 
 
 def _count_datagrams(node: GossipNode):
--- a/tests/members/test_message_validation.py
+++ b/tests/members/test_message_validation.py
@@ -50,7 +50,7 @@
                 validate_message(whole[:size])
 
     def test_oversized_item_counts(self):
-        for data in malformed_messages.oversized_size_messages():
+        for data in malformed_messages.oversized_count_messages():
             with self.assertRaises(MalformedMessageError, msg=data[:20]):
                 validate_message(data)
 
--- a/tests/members/test_roster.py
+++ b/tests/members/test_roster.py
@@ -158,10 +158,10 @@
         async def scenario():
             async with open_partitionable_fleet(3) as (fleet, _):
 
-                def rename(settings):
+                def use_taken_name(settings):
                     settings.daemon.instance = "entry-0"
 
-                fleet.options.customize_settings = rename
+                fleet.options.customize_settings = use_taken_name
                 with self.assertLogs("auburnswitch", logging.ERROR) as logs:
                     await start_daemons(fleet, [3])
                     await wait_until(lambda: is_converged(fleet), 5)
--- a/tests/members/test_signed_frames.py
+++ b/tests/members/test_signed_frames.py
@@ -19,12 +19,12 @@
 from tests.members import malformed_messages
 
 KEY = b"k" * 32
-PLAIN = b"\0"
+UNCOMPRESSED = b"\0"
 fuzz_settings = settings(derandomize=True, deadline=None, max_examples=300)
 
 
 def sign(message: bytes) -> bytes:
-    payload = PLAIN + message
+    payload = UNCOMPRESSED + message
     return hmac.digest(KEY, payload, "sha256")[:MAC_BYTES] + payload
 
 
@@ -54,7 +54,7 @@
             decode_signed(KEY, sign(data), Gossip())
 
     def test_signed_oversized_item_counts(self):
-        for data in malformed_messages.oversized_size_messages():
+        for data in malformed_messages.oversized_count_messages():
             with self.assertRaises(SignedFrameError):
                 decode_signed(KEY, sign(data), Gossip())
 
