--- a/src/auburnswitch/daemon/daemon.py
+++ b/src/auburnswitch/daemon/daemon.py
@@ -208,7 +208,7 @@
             fencing_numbers=FencingNumberAllocator(
                 store=self.store, member_id=self.member.id
             ),
-            load_limiter=ModelLoadLimiter(
+            model_load_limiter=ModelLoadLimiter(
                 settings=self.settings.endpoints,
                 session=session,
                 count_daemons=lambda: len(self.view.live_ids()),
--- a/src/auburnswitch/endpoints/endpoint_manager.py
+++ b/src/auburnswitch/endpoints/endpoint_manager.py
@@ -146,7 +146,12 @@
         return self.owners.owned()
 
     def ledger(self, endpoint: str) -> EndpointLedger | None:
-        """Returns the ledger of an endpoint, or None if it isn't configured."""
+        """Returns the ledger of an endpoint, which is created on first use.
+
+        Returns:
+            The ledger; None if the endpoint isn't configured, in which case
+            any ledger of it is dropped.
+        """
         spec = self.state.endpoints.get(endpoint)
         if spec is None:
             self.drop_ledger(endpoint)
--- a/src/auburnswitch/endpoints/engine_reconciler.py
+++ b/src/auburnswitch/endpoints/engine_reconciler.py
@@ -77,7 +77,7 @@
         "client",
         "endpoint_manager",
         "fencing_numbers",
-        "load_limiter",
+        "model_load_limiter",
         "reconciling",
         "states",
         "tasks",
@@ -89,13 +89,13 @@
         endpoint_manager: EndpointManager,
         client: EndpointClient,
         fencing_numbers: FencingNumberAllocator,
-        load_limiter: ModelLoadLimiter,
+        model_load_limiter: ModelLoadLimiter,
         tasks: TaskSet,
     ) -> None:
         self.endpoint_manager = endpoint_manager
         self.client = client
         self.fencing_numbers = fencing_numbers
-        self.load_limiter = load_limiter
+        self.model_load_limiter = model_load_limiter
         self.tasks = tasks
         self.states: dict[str, ReconcileState] = {}
         self.reconciling: set[str] = set()
@@ -178,8 +178,11 @@
         sent_at = state.sent_at.get(order)
         if sent_at is not None and monotonic_s() < sent_at + ORDER_TIMEOUT_S:
             return  # a model load takes time; a later read shows its end
-        if order.kind == "load_model" and not await self.load_limiter.may_load(
-            order.name, order.version
+        if (
+            order.kind == "load_model"
+            and not await self.model_load_limiter.may_load(
+                order.name, order.version
+            )
         ):
             return
         allocation = await self.fencing_numbers.allocate(
--- a/src/auburnswitch/endpoints/load_monitor.py
+++ b/src/auburnswitch/endpoints/load_monitor.py
@@ -62,7 +62,7 @@
         self.updated_at = monotonic_s()
 
     async def run(self) -> None:
-        """Starts and cancels pollers as ownership changes."""
+        """Detects pauses and runs a poller for each owned endpoint."""
         while True:
             self._check_pause()
             self._update_pollers()
--- a/src/auburnswitch/endpoints/load_report.py
+++ b/src/auburnswitch/endpoints/load_report.py
@@ -36,7 +36,7 @@
     """Builds a load report from the endpoint's response.
 
     Raises:
-        ValueError: The response is no load report.
+        ValueError: The response is not a load report.
     """
     if not isinstance(body, dict) or not body.get("boot_id"):
         raise ValueError("the load report has no boot_id")
--- a/src/auburnswitch/members/membership.py
+++ b/src/auburnswitch/members/membership.py
@@ -110,7 +110,7 @@
         server.handlers[HandoverRequest] = self._on_handover
 
     async def run(self) -> None:
-        """Opens links to new peers and closes links to removed ones."""
+        """Keeps the peers, their links and isolation up to date."""
         self._open_seed_links()
         while True:
             self.view.detect_pause()
--- a/src/auburnswitch/members/message_validation.py
+++ b/src/auburnswitch/members/message_validation.py
@@ -1,8 +1,8 @@
 """Checks that an encoded message is as long as its item counts require.
 
-For a list of a type that takes no bytes, the decoder loops as often as the
-list's count states; a message of a few bytes can make this two billion times.
-So the message is first traversed by its encoded types and counts.
+The decoder loops as often as a list's count states, even if its items take no
+bytes, so a message of a few bytes can cause two billion iterations. Therefore
+the message is first traversed by its encoded types and counts.
 """
 
 from __future__ import annotations
--- a/src/auburnswitch/members/roster_changes.py
+++ b/src/auburnswitch/members/roster_changes.py
@@ -106,9 +106,9 @@
             for i in dict.fromkeys(leaving)
             if i not in terminated
         ]
-        return changes + self._additions()
+        return changes + self._needed_additions()
 
-    def _additions(self) -> list[RosterChange]:
+    def _needed_additions(self) -> list[RosterChange]:
         members = set(self.view.roster_ids())
         joining = [i for i in self.view.live_ids() if i not in members]
         return [AddMember(member=self._member(i)) for i in joining]
--- a/tests/endpoints/test_engine_reconciler.py
+++ b/tests/endpoints/test_engine_reconciler.py
@@ -80,7 +80,7 @@
             endpoint_manager=manager,
             client=EndpointClient(session=session, settings=settings),
             fencing_numbers=make_allocator(manager, session),
-            load_limiter=ModelLoadLimiter(
+            model_load_limiter=ModelLoadLimiter(
                 settings=settings, session=session, count_daemons=lambda: 1
             ),
             tasks=tasks,
@@ -187,7 +187,7 @@
             async with open_weight_store(burst_loads=1) as weights:
                 async with open_session() as session:
                     settings = EndpointsSettings(weight_store_url=weights.url)
-                    load_limiter = ModelLoadLimiter(
+                    model_load_limiter = ModelLoadLimiter(
                         settings=settings,
                         session=session,
                         count_daemons=lambda: 3,
@@ -195,7 +195,7 @@
                     granted = 0
                     end_at = monotonic_s() + 60
                     while monotonic_s() < end_at:
-                        granted += await load_limiter.may_load("m", "v2")
+                        granted += await model_load_limiter.may_load("m", "v2")
                         await asyncio.sleep(0.5)
                 return granted, weights.rejected_loads
 
--- a/tests/members/ownership_model.py
+++ b/tests/members/ownership_model.py
@@ -36,16 +36,16 @@
 
     Attributes:
         rule: The rule and the limits of the search.
-        none: A tuple of ``NONE`` for each member.
-        states: Number of states found.
+        no_ages: A tuple of ``NONE`` for each member.
+        state_count: Number of states found.
     """
 
-    __slots__ = ("none", "rule", "states")
+    __slots__ = ("no_ages", "rule", "state_count")
 
     def __init__(self, *, rule: ModelRule) -> None:
         self.rule = rule
-        self.none = (NONE,) * rule.members
-        self.states = 0
+        self.no_ages = (NONE,) * rule.members
+        self.state_count = 0
 
     def search(self) -> int:
         """Visits every state in breadth-first order; returns their number.
@@ -63,13 +63,13 @@
                 if next_state not in seen:
                     seen.add(next_state)
                     queue.append(next_state)
-        self.states = len(seen)
-        return self.states
+        self.state_count = len(seen)
+        return self.state_count
 
     def _initial_state(self) -> State:
         rule = self.rule
         roster = (1 << rule.initial) - 1
-        follower = Daemon(1, 1, self.none, self.none)
+        follower = Daemon(1, 1, self.no_ages, self.no_ages)
         owner = follower._replace(waited=rule.wait)
         daemons = [follower] * rule.members
         daemons[rule.initial - 1] = owner
@@ -101,12 +101,12 @@
             return daemon
         rule = self.rule
         ack_ages = daemon.ack_ages
-        if ack_ages != self.none:
+        if ack_ages != self.no_ages:
             ack_ages = tuple(
                 [_increment_age(age, rule.lease) for age in ack_ages]
             )
         acks_in_transit = daemon.acks_in_transit
-        if acks_in_transit != self.none:
+        if acks_in_transit != self.no_ages:
             acks_in_transit = tuple(
                 [
                     _increment_age(age, rule.max_delay + 1)
@@ -193,8 +193,8 @@
             daemon._replace(
                 epoch=epoch,
                 since=daemon.since if consecutive else epoch,
-                ack_ages=self.none,
-                acks_in_transit=self.none,
+                ack_ages=self.no_ages,
+                acks_in_transit=self.no_ages,
                 waited=daemon.waited if still_owner else NONE,
                 granting=False,
             ),
@@ -292,11 +292,11 @@
         for number, daemon in enumerate(state.daemons):
             if daemon.epoch == TERMINATED:
                 if self.rule.acks_after_restart:
-                    restarted = Daemon(1, 1, self.none, self.none)
+                    restarted = Daemon(1, 1, self.no_ages, self.no_ages)
                     yield self._with_daemon(state, number, restarted)
             elif terminated < self.rule.max_terminated:
                 terminated_daemon = Daemon(
-                    TERMINATED, daemon.epoch, self.none, self.none
+                    TERMINATED, daemon.epoch, self.no_ages, self.no_ages
                 )
                 yield self._with_daemon(state, number, terminated_daemon)
 
--- a/tests/members/test_ownership_leases.py
+++ b/tests/members/test_ownership_leases.py
@@ -33,7 +33,7 @@
 ENDPOINT = "engine-0"
 
 
-def run(
+def run_on_fleet(
     scenario: Callable[[Fleet, PartitionableNetwork], Awaitable],
     daemons: int = 5,
 ):
@@ -57,7 +57,7 @@
             await wait_for_owner(LeaseOverlapChecker(fleet))
             return monotonic_s()
 
-        self.assertLess(run(scenario), LEASE_S + RESERVATION_TTL_S + 1)
+        self.assertLess(run_on_fleet(scenario), LEASE_S + RESERVATION_TTL_S + 1)
 
     def test_joining_owner_waits_only_for_its_predecessors_grants(self):
         async def scenario(fleet, network):
@@ -75,7 +75,9 @@
             await wait_for_owner(checker)
             return monotonic_s() - moved_at
 
-        self.assertLess(run(scenario, daemons=1), RESERVATION_TTL_S + 0.5)
+        self.assertLess(
+            run_on_fleet(scenario, daemons=1), RESERVATION_TTL_S + 0.5
+        )
 
     def test_successor_of_a_killed_owner_waits(self):
         async def scenario(fleet, network):
@@ -85,7 +87,7 @@
             await wait_for_owner(checker)
             return monotonic_s() - killed_at
 
-        took_s = run(scenario)
+        took_s = run_on_fleet(scenario)
         self.assertGreater(took_s, REMOVAL_S + LEASE_S + RESERVATION_TTL_S - 1)
         self.assertLess(took_s, REMOVAL_S + LEASE_S + RESERVATION_TTL_S + 1.5)
 
@@ -101,7 +103,7 @@
             await stop
             return monotonic_s() - released_at
 
-        took_s = run(scenario)
+        took_s = run_on_fleet(scenario)
         self.assertGreater(took_s, RESERVATION_TTL_S - 0.1)
         self.assertLess(took_s, RESERVATION_TTL_S + 1)
 
@@ -122,7 +124,7 @@
                 await asyncio.sleep(0.01)
             await wait_until(lambda: is_converged(fleet), 20)
 
-        run(scenario)
+        run_on_fleet(scenario)
 
     def test_minority_owner_loses_its_lease_within_the_lease_time(self):
         async def scenario(fleet, network):
@@ -132,11 +134,15 @@
             await asyncio.sleep(LEASE_S)
             self.assertNotIn(name, checker.holders(ENDPOINT))
 
-        run(scenario)
+        run_on_fleet(scenario)
 
     def test_leases_never_overlap_in_random_runs(self):
-        changes = [run(_RandomFaults(seed).run) for seed in (1, 2)]
-        self.assertGreater(min(changes), 5)  # ownership moved in every run
+        change_counts = [
+            run_on_fleet(_RandomFaults(seed).run) for seed in (1, 2)
+        ]
+        self.assertGreater(
+            min(change_counts), 5
+        )  # ownership moved in every run
 
 
 class _RandomFaults:
