--- a/src/auburnswitch/experiments/caller.py
+++ b/src/auburnswitch/experiments/caller.py
@@ -85,15 +85,15 @@
             received_done = True
         if not line.startswith(b"data: {"):
             continue
-        frame = json.loads(payload)
-        if "error" in frame:
-            _record_error(outcome, frame)
+        event = json.loads(payload)
+        if "error" in event:
+            _record_error(outcome, event)
             break
-        text = frame["choices"][0].get("text") or ""
+        text = event["choices"][0].get("text") or ""
         if text and outcome.first_token_s is None:
             outcome.first_token_s = monotonic_s() - started_at
         texts.append(text)
-        usage = frame.get("usage") or {}
+        usage = event.get("usage") or {}
         outcome.tokens = usage.get("completion_tokens", outcome.tokens)
     outcome.text = "".join(texts)
     if received_done:
--- a/src/auburnswitch/experiments/chaos.py
+++ b/src/auburnswitch/experiments/chaos.py
@@ -140,11 +140,11 @@
         if not task.cancelled() and task.exception() is not None:
             raise task.exception() or AssertionError
 
-    def _daemon(self, number: int) -> Daemon | None:
+    def _find_daemon(self, number: int) -> Daemon | None:
         return self.fleet.daemons.get(f"entry-{number}")
 
     def _start_completion(self, action: actions.Complete) -> None:
-        daemon = self._daemon(action.daemon)
+        daemon = self._find_daemon(action.daemon)
         if daemon is None:
             return
         crash_marker = "crash-the-engine " if action.crashing else ""
@@ -163,7 +163,7 @@
         )
 
     def _start_booking(self, action: actions.Book) -> None:
-        if self._daemon(action.daemon) is None:
+        if self._find_daemon(action.daemon) is None:
             return
         url = self.fleet.caller_url(f"entry-{action.daemon}")
         self._start_task(
@@ -183,7 +183,7 @@
     ) -> None:
         number = action.daemon
         unavailable = self.down_daemons | self.frozen_daemons
-        if self._daemon(number) is None or number in unavailable:
+        if self._find_daemon(number) is None or number in unavailable:
             return
         outage = DaemonOutage(
             daemon=f"entry-{number}",
@@ -219,7 +219,7 @@
 
     def _replace_daemon(self, number: int) -> None:
         unavailable = self.down_daemons | self.frozen_daemons
-        if self._daemon(number) is None or number in unavailable:
+        if self._find_daemon(number) is None or number in unavailable:
             return
         self.down_daemons.add(number)
         self._start_task(self._restart_gracefully(number))
@@ -327,7 +327,7 @@
         for _ in range(max_attempts):
             names = [f"entry-{daemon}", *self.fleet.daemons]
             running = [name for name in names if name in self.fleet.daemons]
-            with contextlib.suppress(Exception):  # no daemon may be running
+            with contextlib.suppress(Exception):  # e.g. no daemon is running
                 await self.fleet.apply(ticket, running[0])
                 return monotonic_s()
             await asyncio.sleep(APPLY_RETRY_INTERVAL_S)
--- a/src/auburnswitch/experiments/checker.py
+++ b/src/auburnswitch/experiments/checker.py
@@ -19,7 +19,7 @@
 DEADLINE_SLACK_S: Final = 1.0
 INTERNAL_ERROR_RESULT: Final = "internal"
 OVERLOAD_CAUSE: Final = "cold overload"
-COLD_DETECTION_DELAY_S: Final = 5.0  # from the last slow answer required
+COLD_DETECTION_DELAY_S: Final = 5.0  # after slow answer MIN_SLOW_ANSWERS
 MIN_SLOW_ANSWERS: Final = 2  # enough to detect an unannounced cold engine
 EXECUTION_KINDS: Final = (HistoryKind.REQUEST_STARTED, HistoryKind.PLAIN_RUN)
 
@@ -224,7 +224,8 @@
             if record.actor == period.endpoint and late:
                 after_s = received_at - period.accepted_at
                 detail = (
-                    f"{period.endpoint} got a request {after_s:.1f} s later"
+                    f"{period.endpoint} received a request {after_s:.1f} s"
+                    " after the ticket"
                 )
                 yield Violation(invariant=RunInvariant.CLOSED, detail=detail)
 
@@ -239,8 +240,8 @@
 
 
 def _check_cold_bound(run: RunHistory) -> Iterator[Violation]:
-    # finish times of answers since an unannounced cold turn, by endpoint
-    slow_answers: dict[str, list[float]] = {}
+    # finish times of answers since the endpoint turned cold unannounced
+    slow_answer_times_s: dict[str, list[float]] = {}
     # requests started since then, as (endpoint, request id)
     started: set[tuple[str, str]] = set()
     kinds = (
@@ -250,11 +251,11 @@
         HistoryKind.REQUEST_FINISHED,
     )
     for record in run.history.select(*kinds):
-        answer_times_s = slow_answers.get(record.actor)
+        answer_times_s = slow_answer_times_s.get(record.actor)
         request = (record.actor, str(record.fields.get("request_id")))
         match record.kind:
             case HistoryKind.TURNED_COLD:
-                slow_answers[record.actor] = []
+                slow_answer_times_s[record.actor] = []
                 started = {item for item in started if item[0] != record.actor}
             case HistoryKind.REQUEST_STARTED:
                 started.add(request)
@@ -262,7 +263,9 @@
                 if request in started:
                     answer_times_s.append(record.time_s)
             case HistoryKind.CRASHED:
-                slow_answers.pop(record.actor, None)  # a restart is announced
+                slow_answer_times_s.pop(
+                    record.actor, None
+                )  # a restart is announced
                 overloaded = record.fields.get("cause") == OVERLOAD_CAUSE
                 if overloaded and _must_be_detected(
                     answer_times_s, record.time_s
@@ -274,18 +277,23 @@
                     )
 
 
-def _must_be_detected(slow_answers: list[float] | None, time_s: float) -> bool:
+def _must_be_detected(
+    slow_answer_times_s: list[float] | None, time_s: float
+) -> bool:
     """Returns whether the cold state of an engine must have been detected.
 
     An announced cold state, for which no slow answers are recorded, is always
     detected; an unannounced one `COLD_DETECTION_DELAY_S` after
     `MIN_SLOW_ANSWERS` slow answers.
     """
-    if slow_answers is None:
+    if slow_answer_times_s is None:
         return True
-    if len(slow_answers) < MIN_SLOW_ANSWERS:
+    if len(slow_answer_times_s) < MIN_SLOW_ANSWERS:
         return False
-    return time_s >= slow_answers[MIN_SLOW_ANSWERS - 1] + COLD_DETECTION_DELAY_S
+    return (
+        time_s
+        >= slow_answer_times_s[MIN_SLOW_ANSWERS - 1] + COLD_DETECTION_DELAY_S
+    )
 
 
 def _check_memory(run: RunHistory) -> Iterator[Violation]:
@@ -299,17 +307,20 @@
     )
     for record in run.history.select(*kinds):
         memory = unreleased.setdefault(record.actor, {})
-        name = (record.fields.get("request_id"), record.fields.get("attempt"))
+        attempt_key = (
+            record.fields.get("request_id"),
+            record.fields.get("attempt"),
+        )
         match record.kind:
             case HistoryKind.MEMORY_TAKEN:
-                memory[name] = record
+                memory[attempt_key] = record
             case HistoryKind.MEMORY_FREED:
-                memory.pop(name, None)
+                memory.pop(attempt_key, None)
             case HistoryKind.CRASHED:
                 memory.clear()
     for actor, memory in unreleased.items():
-        for name in memory:
-            detail = f"{actor} has not released the memory of {name}"
+        for attempt_key in memory:
+            detail = f"{actor} has not released the memory of {attempt_key}"
             yield Violation(invariant=RunInvariant.MEMORY_FREED, detail=detail)
 
 
--- a/src/auburnswitch/experiments/claims_cost.py
+++ b/src/auburnswitch/experiments/claims_cost.py
@@ -55,7 +55,7 @@
 
 
 class ClaimBackend(Protocol):
-    """The interface that both claim stores implement."""
+    """The interface that both kinds of claim storage implement."""
 
     async def claim(
         self, key_hash: str, request_hash: str, *, time_left_s: float
@@ -123,7 +123,7 @@
         self.rng = random.Random(1)
 
     async def run(
-        self, claims: list[ClaimBackend], rate: float, seconds: float
+        self, backends: list[ClaimBackend], rate: float, seconds: float
     ) -> float:
         """Sends bookings; returns the time until the last ended, in seconds."""
         started = time.perf_counter()
@@ -134,28 +134,30 @@
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
                 key = hash_key("team", "service", str(self.rng.random()))
-                group.create_task(self._book(self.rng.choice(claims), key))
+                group.create_task(self._book(self.rng.choice(backends), key))
         return time.perf_counter() - started
 
-    async def _book(self, claims: ClaimBackend, key: str) -> None:
+    async def _book(self, backend: ClaimBackend, key: str) -> None:
         started = time.perf_counter()
-        match await claims.claim(key, "", time_left_s=10):
+        match await backend.claim(key, "", time_left_s=10):
             case ClaimAcquired(claim=claim):
                 self.latencies_s.append(time.perf_counter() - started)
                 await asyncio.sleep(SERVICE_TIME_S)
-                await claims.record(claim, 201, "application/json", ANSWER_BODY)
+                await backend.record(
+                    claim, 201, "application/json", ANSWER_BODY
+                )
             case _:
                 self.refused += 1
 
 
 @contextlib.asynccontextmanager
-async def open_claim_stores(
+async def open_claim_backends(
     platform: PlatformStandIn, *, grouped: bool
 ) -> AsyncIterator[list[ClaimBackend]]:
-    """Opens one claim store per daemon."""
+    """Opens one claim backend per daemon."""
     async with contextlib.AsyncExitStack() as stack:
         tasks = await stack.enter_async_context(open_task_set())
-        stores: list[ClaimBackend] = []
+        backends: list[ClaimBackend] = []
         for number in range(DAEMON_COUNT):
             session = await stack.enter_async_context(
                 aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
@@ -169,9 +171,9 @@
                 member_count=lambda: DAEMON_COUNT,
             )
             if not grouped:
-                stores.append(PerObjectClaimBackend(store=store))
+                backends.append(PerObjectClaimBackend(store=store))
                 continue
-            claims = ClaimStore(
+            claim_store = ClaimStore(
                 store=store,
                 settings=settings,
                 clock=WallClock(),
@@ -179,10 +181,10 @@
                 tasks=tasks,
                 seed=number,
             )
-            stores.append(claims)
+            backends.append(claim_store)
         if grouped:
-            _connect_stores(stores)
-        yield stores
+            _connect_stores(backends)
+        yield backends
 
 
 def _connect_stores(stores: list[Any]) -> None:
@@ -212,15 +214,16 @@
     Args:
         rate: Offered bookings per second.
         seconds: Time over which bookings arrive, in seconds.
-        grouped: Commit claims in groups instead of one object per claim.
+        grouped: Whether to commit claims in groups rather than to write
+            one object per claim.
     """
     async with (
         open_platform() as platform,
-        open_claim_stores(platform, grouped=grouped) as stores,
+        open_claim_backends(platform, grouped=grouped) as backends,
     ):
         platform.delay_s = STORE_DELAY_S
         load = BookingLoad()
-        took_s = await load.run(stores, rate, seconds)
+        took_s = await load.run(backends, rate, seconds)
         claimed = len(load.latencies_s)
         latencies_s = sorted(load.latencies_s) or [0.0]
         sizes_bytes = [
--- a/src/auburnswitch/experiments/entry_demo.py
+++ b/src/auburnswitch/experiments/entry_demo.py
@@ -55,7 +55,7 @@
     tokens: int,
     show: Callable[[str], None],
 ) -> None:
-    before = len(fleet.arrivals)
+    before = len(fleet.received_requests)
     request = StreamRequest(
         path="/chat/1",
         prompt_tokens=tokens,
@@ -65,16 +65,16 @@
     outcome = await stream_events(fleet.session, fleet.url(), request)
     if outcome.first_token_s is None:
         retry_note = (
-            "need not come back"
+            "no retry suggested"
             if outcome.retry_after_s is None
-            else f"may come back after {outcome.retry_after_s} s"
+            else f"retry suggested after {outcome.retry_after_s} s"
         )
         show(
             f"{label}: {outcome.result} after {outcome.total_s:.2f} s,"
             f" ran: {outcome.ran}, {retry_note}"
         )
         return
-    send_count = len(fleet.arrivals) - before
+    send_count = len(fleet.received_requests) - before
     show(
         f"{label}: {outcome.result}, first event after"
         f" {outcome.first_token_s:.2f} s, {outcome.tokens} events,"
@@ -85,11 +85,11 @@
 async def _show_resumed_streams(
     fleet: LoopbackInstallation, show: Callable[[str], None]
 ) -> None:
-    for name, runner in fleet.runners.items():
+    for name, endpoint in fleet.endpoints.items():
         if name.startswith("engine"):
-            runner.faults.append(Fault.DISCONNECT_MID_EVENT)
-    fleet.runners["engine-2"].faults.clear()
-    show("two of three engines now break off in the middle of an event")
+            endpoint.faults.append(Fault.DISCONNECT_MID_EVENT)
+    fleet.endpoints["engine-2"].faults.clear()
+    show("two of three engines now disconnect in the middle of an event")
     for _ in range(3):
         await _show_stream(fleet, "a short prompt", SHORT_TOKENS, show)
 
@@ -97,23 +97,23 @@
 async def _show_booking(
     fleet: LoopbackInstallation, show: Callable[[str], None]
 ) -> None:
-    for runner in fleet.runners.values():
-        runner.faults.clear()
-        runner.received_requests.clear()
+    for endpoint in fleet.endpoints.values():
+        endpoint.faults.clear()
+        endpoint.received_requests.clear()
     for name in ("desk-0", "desk-1"):
-        fleet.runners[name].faults.append(Fault.DISCONNECT)
+        fleet.endpoints[name].faults.append(Fault.DISCONNECT)
     result = await fleet.call("/book/1")
     show(
         f"a booking whose answer is lost: HTTP {result.status},"
-        f" sent {len(fleet.arrivals)} time"
+        f" sent {len(fleet.received_requests)} time"
     )
 
 
 async def _show_revoked_key(
     fleet: LoopbackInstallation, show: Callable[[str], None]
 ) -> None:
-    for runner in fleet.runners.values():
-        runner.faults.clear()
+    for endpoint in fleet.endpoints.values():
+        endpoint.faults.clear()
     key = CALLER_KEYS[1]
     before = await fleet.call("/book/1", key=key)
     started_at = monotonic_s()
@@ -127,7 +127,7 @@
     took_s = monotonic_s() - started_at
     after = await fleet.call("/book/1", key=key, daemon=1)
     show(
-        f"a key is taken back: HTTP {before.status} before, {after.status}"
+        f"a key is revoked: HTTP {before.status} before, {after.status}"
         f" after; in force in {len(fleet.daemons)} daemons after {took_s:.2f} s"
     )
 
--- a/src/auburnswitch/experiments/fleet.py
+++ b/src/auburnswitch/experiments/fleet.py
@@ -67,9 +67,9 @@
             connector.
         daemon_options: Returns further arguments of ``open_daemon`` for an
             instance.
-        strict_invariants: Raise an error when an invariant is violated.
+        strict_invariants: Whether a violated invariant raises an error.
         base_port: First port of the daemons; 0 uses free ports.
-        keep_frames: Keep the engines' history records of sent frames.
+        keep_frames: Whether to keep engines' history records of sent frames.
     """
 
     engines: int = 2
@@ -104,13 +104,13 @@
     """
 
     __slots__ = (
+        "daemon_start_count",
         "daemons",
         "engines",
         "folder",
         "history",
-        "incarnations",
         "killed_daemons",
-        "next_ticket",
+        "next_ticket_number",
         "options",
         "plain",
         "platform",
@@ -140,8 +140,8 @@
         self.daemons: dict[str, Daemon] = {}
         self.running_daemons: dict[str, RunningDaemon] = {}
         self.killed_daemons: list[RunningDaemon] = []
-        self.incarnations = 0
-        self.next_ticket = 1
+        self.daemon_start_count = 0
+        self.next_ticket_number = 1
 
     def zone(self, number: int) -> str:
         """Returns the zone of the n-th endpoint or daemon."""
@@ -176,8 +176,10 @@
             "strict_invariants": self.options.strict_invariants,
             **self.options.daemon_options(instance),
         }
-        self.incarnations += 1
-        running = RunningDaemon(process_name=f"{instance}#{self.incarnations}")
+        self.daemon_start_count += 1
+        running = RunningDaemon(
+            process_name=f"{instance}#{self.daemon_start_count}"
+        )
         await running.start(
             open_daemon(self.daemon_settings(number), **options)
         )
@@ -236,8 +238,8 @@
 
     def ticket(self, changes: list[Change], note: str = "") -> Ticket:
         """Returns a ticket with the next number."""
-        number = self.next_ticket
-        self.next_ticket += 1
+        number = self.next_ticket_number
+        self.next_ticket_number += 1
         return Ticket(number=number, author="demo", note=note, changes=changes)
 
     async def apply(self, ticket: Ticket, instance: str = "") -> dict[str, Any]:
--- a/src/auburnswitch/experiments/freezable_loop.py
+++ b/src/auburnswitch/experiments/freezable_loop.py
@@ -48,7 +48,7 @@
         )
 
     def kill(self, process_name: str) -> None:
-        """Freezes a process for good and closes its sockets, like SIGKILL."""
+        """Freezes a process forever and closes its sockets, like SIGKILL."""
         self.freeze(process_name)
         for key in self._selector.suspended_keys(process_name):
             handle = next(h for h in key.data if h is not None)
--- a/src/auburnswitch/experiments/installation.py
+++ b/src/auburnswitch/experiments/installation.py
@@ -71,7 +71,7 @@
         store: The store of the installation.
         session: HTTP client of its callers.
         store_address: Listening address of the store, as ``host:port``.
-        runners: Endpoint stand-ins by endpoint id.
+        endpoints: Endpoint stand-ins by endpoint id.
         addresses: Listening addresses of the endpoints, by endpoint id.
         daemons: The entry daemons.
     """
@@ -79,7 +79,7 @@
     __slots__ = (
         "addresses",
         "daemons",
-        "runners",
+        "endpoints",
         "session",
         "store",
         "store_address",
@@ -95,7 +95,7 @@
         self.store = store
         self.session = session
         self.store_address = store_address
-        self.runners: dict[str, EndpointStandIn] = {}
+        self.endpoints: dict[str, EndpointStandIn] = {}
         self.addresses: dict[str, str] = {}
         self.daemons: list[EntryDaemon] = []
 
@@ -108,12 +108,12 @@
         )
 
     @property
-    def arrivals(self) -> list[ReceivedRequest]:
+    def received_requests(self) -> list[ReceivedRequest]:
         """Requests that the endpoints have received."""
         return [
             request
-            for standin in self.runners.values()
-            for request in standin.received_requests
+            for endpoint in self.endpoints.values()
+            for request in endpoint.received_requests
         ]
 
     def url(self, daemon: int = 0) -> str:
@@ -187,9 +187,9 @@
         services = {f"engine-{n}": "engines" for n in range(engines)}
         services |= {f"desk-{n}": "desk" for n in range(plain_services)}
         for name, service in services.items():
-            runner = fleet.runners[name] = EndpointStandIn(endpoint_id=name)
+            endpoint = fleet.endpoints[name] = EndpointStandIn(endpoint_id=name)
             server = await stack.enter_async_context(
-                open_http_server(runner, host="127.0.0.1", port=0)
+                open_http_server(endpoint, host="127.0.0.1", port=0)
             )
             fleet.addresses[name] = f"127.0.0.1:{server.port}"
             fleet.put_endpoint(name, service)
--- a/src/auburnswitch/experiments/load.py
+++ b/src/auburnswitch/experiments/load.py
@@ -160,7 +160,7 @@
         case ModelTarget(model=model):
             body = {
                 "model": model,
-                "prompt": _prompt(tokens, rng),
+                "prompt": _make_prompt(tokens, rng),
                 "max_tokens": options.answer_tokens,
             }
             headers = {"Authorization": f"Bearer {options.caller_key}"}
@@ -190,10 +190,9 @@
     return rng.choices(mix, [length_share.share for length_share in mix])[0]
 
 
-def _prompt(tokens: int, rng: random.Random) -> str:
-    unique_prefix = (
-        f"{rng.getrandbits(64):016x} "  # no two prompts share a prefix
-    )
+def _make_prompt(tokens: int, rng: random.Random) -> str:
+    # no two prompts share a prefix that an engine could have cached
+    unique_prefix = f"{rng.getrandbits(64):016x} "
     size_bytes = tokens * BYTES_PER_TOKEN - len(unique_prefix)
     word = rng.choice(WORDS) + " "
     return unique_prefix + (word * (size_bytes // len(word) + 1))[:size_bytes]
--- a/src/auburnswitch/experiments/oracle.py
+++ b/src/auburnswitch/experiments/oracle.py
@@ -107,12 +107,14 @@
     ) -> tuple[int, ...]:
         jobs = self.engines[name].batch.jobs()
         in_transit = self._in_transit(name)
-        length = int(request.length_class)
+        priority = int(request.length_class)
         ahead_tokens = sum(
-            j.prefill_remaining_tokens for j in jobs if j.priority <= length
+            j.prefill_remaining_tokens for j in jobs if j.priority <= priority
         )
         ahead_tokens += sum(
-            r.prompt_tokens for r in in_transit if int(r.length_class) <= length
+            r.prompt_tokens
+            for r in in_transit
+            if int(r.length_class) <= priority
         )
         total_tokens = sum(j.prefill_remaining_tokens for j in jobs)
         total_tokens += sum(r.prompt_tokens for r in in_transit)
--- a/src/auburnswitch/experiments/running_daemon.py
+++ b/src/auburnswitch/experiments/running_daemon.py
@@ -1,4 +1,4 @@
-"""Runs a daemon of a fleet in a separate task."""
+"""Runs a daemon of a fleet as a simulated process."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
             be frozen.
         daemon: The daemon; set once it has started.
         graceful: Whether to drain the daemon when it stops.
-        stopping: Set to stop the daemon.
+        stop_requested: Set to stop the daemon.
         task: The task that runs the daemon.
     """
 
-    __slots__ = ("daemon", "graceful", "process_name", "stopping", "task")
+    __slots__ = ("daemon", "graceful", "process_name", "stop_requested", "task")
 
     def __init__(self, *, process_name: str) -> None:
         self.process_name = process_name
         self.graceful = False
-        self.stopping = asyncio.Event()
+        self.stop_requested = asyncio.Event()
 
     async def start(
-        self, opening: contextlib.AbstractAsyncContextManager[Daemon]
+        self, daemon_context: contextlib.AbstractAsyncContextManager[Daemon]
     ) -> None:
         """Starts the daemon and waits until its listeners are open.
 
@@ -44,23 +44,23 @@
         context = contextvars.copy_context()
         context.run(PROCESS_NAME.set, self.process_name)
         self.task = asyncio.create_task(
-            self._run(opening, started), context=context
+            self._run(daemon_context, started), context=context
         )
         await asyncio.wait(
             {self.task, started}, return_when=asyncio.FIRST_COMPLETED
         )
         if not started.done():
-            await self.task  # raises the error of the start
+            await self.task  # raises the startup error
         self.daemon: Daemon = started.result()
 
     async def _run(
         self,
-        opening: contextlib.AbstractAsyncContextManager[Daemon],
+        daemon_context: contextlib.AbstractAsyncContextManager[Daemon],
         started: asyncio.Future[Daemon],
     ) -> None:
-        async with opening as daemon:
+        async with daemon_context as daemon:
             started.set_result(daemon)
-            await self.stopping.wait()
+            await self.stop_requested.wait()
             if self.graceful:
                 await daemon.drain()
             else:
@@ -69,7 +69,7 @@
     async def stop(self, *, graceful: bool) -> None:
         """Stops the daemon and waits until its task has ended."""
         self.graceful = graceful
-        self.stopping.set()
+        self.stop_requested.set()
         await self.task
 
     async def abort(self) -> None:
--- a/src/auburnswitch/experiments/ticket_spread.py
+++ b/src/auburnswitch/experiments/ticket_spread.py
@@ -66,29 +66,31 @@
 }
 
 
-async def measure_ticket(fleet: Fleet, fault: Fault, before: bool) -> float:
+async def measure_ticket(
+    fleet: Fleet, fault: Fault, inject_before_ticket: bool
+) -> float:
     """Applies one ticket; returns the seconds until all daemons have it.
 
     Args:
         fleet: The fleet.
         fault: Fault to inject.
-        before: Inject the fault before the ticket is accepted rather than
-            right after.
+        inject_before_ticket: Whether to inject the fault before the ticket is
+            accepted rather than right after.
     """
-    number = random.Random(fleet.next_ticket).randrange(DAEMON_COUNT)
+    number = random.Random(fleet.next_ticket_number).randrange(DAEMON_COUNT)
     instance = f"entry-{number}"
-    out = fleet.next_ticket % 2 == 0
+    out = fleet.next_ticket_number % 2 == 0
     ticket = fleet.ticket([fleet.zone_change(fleet.zone(0), out=out)])
-    if before and fault is _hang_watches_and_kill:
+    if inject_before_ticket and fault is _hang_watches_and_kill:
         fleet.platform.watch_broken = True
-    elif before:
+    elif inject_before_ticket:
         await fault(fleet, number)
     try:
         await fleet.apply(ticket, instance)
     except aiohttp.ClientOSError:  # an idle connection was closed
         await fleet.apply(ticket, instance)
     accepted_at = monotonic_s()
-    if not before or fault is _hang_watches_and_kill:
+    if not inject_before_ticket or fault is _hang_watches_and_kill:
         await fault(fleet, number)
     async with asyncio.timeout(PROPAGATION_TIMEOUT_S):
         while not all(
@@ -107,7 +109,7 @@
 async def measure_propagation(tickets: int) -> list[str]:
     """Returns a table row with propagation times for each fault."""
     rows = []
-    for name, (fault, before) in FAULTS.items():
+    for name, (fault, inject_before_ticket) in FAULTS.items():
         options = FleetOptions(
             daemons=DAEMON_COUNT, connector=SimulatedConnector
         )
@@ -115,7 +117,7 @@
             await asyncio.sleep(SETTLE_S)
             times_s = sorted(
                 [
-                    await measure_ticket(fleet, fault, before)
+                    await measure_ticket(fleet, fault, inject_before_ticket)
                     for _ in range(tickets)
                 ]
             )
@@ -129,9 +131,9 @@
     options = FleetOptions(daemons=daemons, connector=SimulatedConnector)
     async with open_fleet(options) as fleet:
         await asyncio.sleep(SETTLE_S * 2)
-        before = fleet.platform.calls.copy()
+        calls_before = fleet.platform.calls.copy()
         await asyncio.sleep(IDLE_PERIOD_S)
-        calls = fleet.platform.calls - before
+        calls = fleet.platform.calls - calls_before
     rate_per_s = sum(calls.values()) / IDLE_PERIOD_S
     kinds = ", ".join(
         f"{k} {n / IDLE_PERIOD_S:.2f}" for k, n in sorted(calls.items())
--- a/src/auburnswitch/experiments/virtual_time.py
+++ b/src/auburnswitch/experiments/virtual_time.py
@@ -113,9 +113,8 @@
                 "no socket is ready and no timer is pending"
             )
         if timeout > 0:
-            step_s = max(
-                timeout, self.clock.resolution
-            )  # at least one clock tick
+            # at least one clock tick
+            step_s = max(timeout, self.clock.resolution)
             self.clock.advance(step_s)
         return []
 
--- a/src/auburnswitch/experiments/zone_move.py
+++ b/src/auburnswitch/experiments/zone_move.py
@@ -93,9 +93,9 @@
         await warm_up(fleet)
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        move = asyncio.create_task(_move_zone(fleet))
+        move_task = asyncio.create_task(_move_zone(fleet))
         samples = await send_all(fleet, arrivals)
-        await move
+        await move_task
         return _summarize(fleet, policy, load, samples, started_at)
 
 
@@ -106,7 +106,7 @@
     await asyncio.sleep(ZONE_BACK_AT_S - ZONE_OUT_AT_S - ENGINE_RESTART_S)
     for number, engine in enumerate(fleet.engines.values()):
         if fleet.zone(number) == ZONES[0]:
-            engine.crash("restart")  # restarts cold
+            engine.crash("restart")  # the engine restarts cold
     await asyncio.sleep(ENGINE_RESTART_S)
     change = fleet.zone_change(ZONES[0])
     await fleet.apply(fleet.ticket([change], "the zone returns"))
@@ -164,11 +164,12 @@
     short = LengthClass.SHORT.name.lower()
     before_s = summary.phases["before"][short].p95_s
     ratio = summary.phases["out"][short].p95_s / before_s
-    lines.append(f"  short p95 in the minute after over before: {ratio:.2f}")
-    lines.append(f"  not answered whole: {summary.lost or 'none'}")
+    lines.append(f"  ratio of short p95, zone out to before: {ratio:.2f}")
+    lines.append(f"  without a complete answer: {summary.lost or 'none'}")
     lines.append(
-        f"  started in the zone after 3 s: {summary.started_after_bound};"
-        f" most at one time on a cold engine: {summary.most_cold}"
+        f"  started in the zone over 3 s after the ticket:"
+        f" {summary.started_after_bound};"
+        f" most concurrent on a cold engine: {summary.most_cold}"
     )
     return lines
 
--- a/src/auburnswitch/soak/fault_injector.py
+++ b/src/auburnswitch/soak/fault_injector.py
@@ -48,7 +48,7 @@
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + seconds
         faults: list[Callable[[], Awaitable[None]]] = [
-            self._restart,
+            self._kill,
             self._pause,
             self._terminate,
             self._reload,
@@ -90,7 +90,7 @@
         self._faulted_daemons.add(daemon.name)
         return daemon
 
-    async def _restart(self) -> None:
+    async def _kill(self) -> None:
         if daemon := self._claim_daemon():
             daemon.send_signal(signal.SIGKILL)
             await daemon.wait_for_exit()
--- a/src/auburnswitch/soak/run.py
+++ b/src/auburnswitch/soak/run.py
@@ -28,7 +28,7 @@
     from collections.abc import Iterable
 
 CONCURRENT_CALLERS: Final = 4
-RECOVERY_WAIT_S: Final = 6.0  # time until every request succeeds again
+RECOVERY_WAIT_S: Final = 6.0  # after it every request must succeed
 RECOVERY_REQUESTS: Final = 30
 READY_TIMEOUT_S: Final = 10.0
 
--- a/src/auburnswitch/soak/workload_generator.py
+++ b/src/auburnswitch/soak/workload_generator.py
@@ -22,7 +22,7 @@
 REQUEST_INTERVAL_RANGE_S: Final = (0.02, 0.15)
 RESPONSE_TIMEOUT_S: Final = 6.0
 LONG_PROMPT_SHARE: Final = 0.1
-LONG_TOKEN_COUNTS: Final = "80000,50"  # over one engine's memory
+LONG_TOKEN_COUNTS: Final = "80000,50"  # exceeds one engine's memory
 SHORT_TOKEN_COUNTS: Final = "900,50"
 HTTP_OK: Final = 200
 NOT_EXECUTED_STATUSES: Final = (408, 421, 429, 503)
@@ -39,7 +39,7 @@
         sent_at: Loop time at which the request was sent, in seconds.
         status: HTTP status of the response, 0 without a response.
         body: Body of the response, empty if it is incomplete.
-        signed: The response was signed by an endpoint.
+        signed: Whether the response was signed by an endpoint.
     """
 
     id: str
--- a/src/auburnswitch/standins/answers.py
+++ b/src/auburnswitch/standins/answers.py
@@ -37,7 +37,7 @@
 
 
 def answer_token(digest: str, index: int) -> str:
-    """Returns one token of an answer, which has four ASCII characters.
+    """Returns one token, four ASCII characters, of an answer.
 
     Args:
         digest: Digest of the complete prompt.
--- a/src/auburnswitch/standins/control.py
+++ b/src/auburnswitch/standins/control.py
@@ -55,7 +55,7 @@
         try:
             switches = json.loads(await request.body())
             if not isinstance(switches, dict):
-                raise ValueError("must be an object")
+                raise ValueError("body must be an object")
             target.apply_control(switches)
         except (ValueError, TypeError, KeyError) as error:
             return JSONResponse({"error": repr(error)}, 400)
--- a/src/auburnswitch/standins/endpoint.py
+++ b/src/auburnswitch/standins/endpoint.py
@@ -65,7 +65,7 @@
         faults: Faults of the next requests, in order of arrival.
         received_requests: All requests received, misdirected ones included.
         reservations: Reserved tokens by reservation key.
-        capacity_tokens: Memory that can be reserved.
+        capacity_tokens: Memory that can be reserved, in tokens.
         client_disconnects: Number of streams whose client disconnected before
             the end.
         running: Number of requests in progress.
--- a/src/auburnswitch/standins/engine.py
+++ b/src/auburnswitch/standins/engine.py
@@ -197,8 +197,8 @@
 
     def on_prefill_started(self, job: Job) -> None:
         """Skips the prefill of cached blocks, except for the last token."""
-        cached = self.cache.match(job.blocks)
-        job.cached_tokens = min(cached, job.prompt_tokens - 1)
+        cached_tokens = self.cache.match(job.blocks)
+        job.cached_tokens = min(cached_tokens, job.prompt_tokens - 1)
         job.prefill_remaining_tokens -= job.cached_tokens
 
     def on_prefilled(self, job: Job) -> None:
--- a/src/auburnswitch/standins/engine_batch.py
+++ b/src/auburnswitch/standins/engine_batch.py
@@ -222,7 +222,8 @@
                 await self._decode_ready.wait()
                 step_end_s = loop.time()
             step_end_s += decode_time_s(self.options, len(self.decoding))
-            step_end_s = max(step_end_s, loop.time())  # does not catch up
+            # steps missed during a pause or delay are not made up for
+            step_end_s = max(step_end_s, loop.time())
             await asyncio.sleep(step_end_s - loop.time())
             await self.pause.wait()
             self._decode_step()
--- a/src/auburnswitch/standins/engine_requests.py
+++ b/src/auburnswitch/standins/engine_requests.py
@@ -132,8 +132,8 @@
         ValueError: An id has the wrong type.
     """
     ids = read_request_ids(request, default_id)
-    ids.request_id = _field(body, "request_id", str, ids.request_id)
-    ids.attempt = _field(body, "attempt", int, ids.attempt)
+    ids.request_id = _read_field(body, "request_id", str, ids.request_id)
+    ids.attempt = _read_field(body, "attempt", int, ids.attempt)
     return ids
 
 
@@ -146,25 +146,25 @@
     if chat:
         prompt = chat_prompt(_parse_messages(body))
     else:
-        prompt = _field(body, "prompt", str, "")
+        prompt = _read_field(body, "prompt", str, "")
     if not prompt:
         raise ValueError("prompt must not be empty")
-    max_tokens = _field(body, "max_tokens", int, DEFAULT_MAX_TOKENS)
+    max_tokens = _read_field(body, "max_tokens", int, DEFAULT_MAX_TOKENS)
     if max_tokens < 1:
         raise ValueError("max_tokens must be positive")
     return EngineRequest(
-        model=_field(body, "model", str, ""),
+        model=_read_field(body, "model", str, ""),
         prompt=prompt,
         max_tokens=max_tokens,
-        stream=_field(body, "stream", bool, False),
-        priority=_field(body, "priority", int, 0),
+        stream=_read_field(body, "stream", bool, False),
+        priority=_read_field(body, "priority", int, 0),
         kv_chain=_parse_kv_chain(body),
-        continue_text=_field(body, "continue_text", str, ""),
+        continue_text=_read_field(body, "continue_text", str, ""),
         chat=chat,
     )
 
 
-def _field(
+def _read_field(
     body: dict[str, Any], name: str, expected_type: type, default: Any
 ) -> Any:
     value = body.get(name)
@@ -186,12 +186,12 @@
 
 def _parse_kv_chain(body: dict[str, Any]) -> list[KvCacheRef]:
     kv_refs = []
-    for item in _field(body, "kv_chain", list, []):
+    for item in _read_field(body, "kv_chain", list, []):
         if not isinstance(item, dict):
             raise ValueError("kv_chain must contain objects")
-        url = _field(item, "url", str, "")
+        url = _read_field(item, "url", str, "")
         kv_refs.append(
-            KvCacheRef(url=url, kv_id=_field(item, "kv_id", str, ""))
+            KvCacheRef(url=url, kv_id=_read_field(item, "kv_id", str, ""))
         )
     return kv_refs
 
--- a/src/auburnswitch/standins/engine_responses.py
+++ b/src/auburnswitch/standins/engine_responses.py
@@ -58,7 +58,7 @@
     }
 
 
-class SseEventWriter:
+class SseEventBuilder:
     """Builds the SSE events of one stream.
 
     Attributes:
@@ -132,7 +132,7 @@
         self.init_headers({"cache-control": "no-store"})
         del self.headers["content-length"]
         self.job = job
-        self.writer = SseEventWriter(job=job, work=work)
+        self.event_builder = SseEventBuilder(job=job, work=work)
         self.next_token = first
         self.history = history
         self.actor = actor
@@ -183,13 +183,13 @@
             count=end - first,
         )
         await _send_text(
-            send, self.writer.token_events(first, end), more_body=True
+            send, self.event_builder.token_events(first, end), more_body=True
         )
 
     async def _send_end(self, send: Send) -> None:
         text = DONE_EVENT
         if self.job.state is JobState.CANCELLED:
-            text = self.writer.cancelled_event(self.next_token) + text
+            text = self.event_builder.cancelled_event(self.next_token) + text
         await _send_text(send, text, more_body=False)
 
 
@@ -203,4 +203,4 @@
     )
 
 
-__all__ = ["SseResponse", "SseEventWriter", "usage", "completion_response"]
+__all__ = ["SseResponse", "SseEventBuilder", "usage", "completion_response"]
--- a/src/auburnswitch/standins/installation_store.py
+++ b/src/auburnswitch/standins/installation_store.py
@@ -94,7 +94,7 @@
         path = "/v1/objects/{kind}"
         return Starlette(
             routes=[
-                Route(path, self._get, methods=["GET"]),
+                Route(path, self._list_or_watch, methods=["GET"]),
                 Route(path, self._create, methods=["POST"]),
                 Route(path + "/{name}", self._replace, methods=["PUT"]),
                 Route(path + "/{name}", self._delete, methods=["DELETE"]),
@@ -121,7 +121,7 @@
         self.calls += 1
         return Response(status_code=_UNAVAILABLE) if self.unavailable else None
 
-    async def _get(self, request: Request) -> Response:
+    async def _list_or_watch(self, request: Request) -> Response:
         if rejection := self._rejection():
             return rejection
         kind = request.path_params["kind"]
--- a/src/auburnswitch/standins/listener.py
+++ b/src/auburnswitch/standins/listener.py
@@ -120,9 +120,8 @@
         except asyncio.CancelledError:
             if task not in self._aborted_tasks:
                 raise
-            await wait_for_disconnect(
-                receive
-            )  # the server must handle the disconnect first
+            # the server must handle the disconnect first
+            await wait_for_disconnect(receive)
         finally:
             del self._request_tasks[task]
             self._aborted_tasks.discard(task)
@@ -134,9 +133,8 @@
         silent_s = seconds_until(self._silent_until_s)
         if silent_s:
             await asyncio.sleep(silent_s)
-            await self.abort_request(
-                scope, receive
-            )  # simulates a terminated process
+            # simulates a terminated process
+            await self.abort_request(scope, receive)
             return
         ARRIVAL_TIME_S.set(asyncio.get_running_loop().time())
         await self.pause.wait()
--- a/src/auburnswitch/standins/plain_api.py
+++ b/src/auburnswitch/standins/plain_api.py
@@ -55,7 +55,7 @@
             return self._response({"slots": list(SLOTS)})
 
     async def create_booking(self, request: Request) -> Response:
-        """Creates a booking, even if the request is a repetition."""
+        """Creates a booking, even if the request repeats an earlier one."""
         try:
             details = await request.json()
         except ValueError as error:
--- a/tests/cli/test_against_daemon.py
+++ b/tests/cli/test_against_daemon.py
@@ -106,7 +106,7 @@
                 )
             self.assertEqual((code, err), (0, ""))
             self.assertIn("ok 6", out)
-            self.assertEqual(len(fleet.arrivals), 6)
+            self.assertEqual(len(fleet.received_requests), 6)
 
     async def test_load_rejects_invalid_target(self):
         self.environment = {"PYTHONPATH": os.pathsep.join(sys.path)}
--- a/tests/entry/test_load_observation.py
+++ b/tests/entry/test_load_observation.py
@@ -10,9 +10,9 @@
 class LoadObservationTest(unittest.IsolatedAsyncioTestCase):
     async def test_unknown_work_and_slowdown_reach_all_daemons(self):
         async with open_installation(daemons=2) as fleet:
-            runner = fleet.runners["engine-0"]
-            runner.running = 3
-            runner.slowdown = 2.5
+            endpoint = fleet.endpoints["engine-0"]
+            endpoint.running = 3
+            endpoint.slowdown = 2.5
             await wait_until(
                 lambda: all(
                     d.fleet_load.by_endpoint["engine-0"].unknown_requests == 3
@@ -20,7 +20,7 @@
                     for d in fleet.daemons
                 )
             )
-            runner.running, runner.slowdown = 0, 1.0
+            endpoint.running, endpoint.slowdown = 0, 1.0
             await wait_until(
                 lambda: (
                     not any(
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -26,7 +26,7 @@
             )
         self.assertEqual(status, 200)
         self.assertIn("x-response-seal", headers)
-        (arrival,) = fleet.arrivals
+        (arrival,) = fleet.received_requests
         self.assertEqual(arrival.body, b"body")
         self.assertEqual(arrival.target, "/book/a%2Fb")
         self.assertEqual(arrival.headers["x-other"], "kept")
@@ -38,42 +38,46 @@
     async def test_caller_cannot_set_its_team(self):
         async with open_installation() as fleet:
             await fleet.call("/book/1", headers={"X-Tenant": "another"})
-        self.assertEqual(fleet.arrivals[0].headers["x-tenant"], "walk-ins")
+        self.assertEqual(
+            fleet.received_requests[0].headers["x-tenant"], "walk-ins"
+        )
 
     async def test_unknown_route_and_key(self):
         async with open_installation() as fleet:
             self.assertEqual((await fleet.call("/none/1"))[0], 404)
             self.assertEqual((await fleet.call("/book/1", key="x"))[0], 401)
-        self.assertEqual(fleet.arrivals, [])
+        self.assertEqual(fleet.received_requests, [])
 
     async def test_non_idempotent_is_sent_once(self):
         for fault in (Fault.DISCONNECT, Fault.WRONG_REQUEST_ID, Fault.UNSIGNED):
             with self.subTest(fault):
                 async with open_installation() as fleet:
-                    for runner in fleet.runners.values():
-                        runner.faults.append(fault)
+                    for endpoint in fleet.endpoints.values():
+                        endpoint.faults.append(fault)
                     status, _, headers = await fleet.call("/book/1")
                 self.assertEqual(status, 502)
                 self.assertNotIn("retry-after", headers)
-                self.assertEqual(len(fleet.arrivals), 1)
+                self.assertEqual(len(fleet.received_requests), 1)
 
     async def test_endpoint_error_is_forwarded(self):
         async with open_installation() as fleet:
-            for runner in fleet.runners.values():
-                runner.faults.append(Fault.SERVER_ERROR)
+            for endpoint in fleet.endpoints.values():
+                endpoint.faults.append(Fault.SERVER_ERROR)
             status, body, headers = await fleet.call("/book/1")
         self.assertEqual((status, body), (500, b"failed"))
         self.assertIn("x-response-seal", headers)
-        self.assertEqual(len(fleet.arrivals), 1)
+        self.assertEqual(len(fleet.received_requests), 1)
 
     async def test_request_that_was_not_executed_may_be_retried(self):
         async with open_installation() as fleet:
             for name in ("desk-0", "desk-1"):
-                fleet.runners[name].faults.append(Fault.NOT_EXECUTED)
+                fleet.endpoints[name].faults.append(Fault.NOT_EXECUTED)
             status, _, headers = await fleet.call("/book/1")
         self.assertEqual(status, 503)
         self.assertIn("retry-after", headers)
-        self.assertFalse(any(arrival.ran for arrival in fleet.arrivals))
+        self.assertFalse(
+            any(arrival.ran for arrival in fleet.received_requests)
+        )
 
     async def test_idempotent_is_retried_elsewhere(self):
         for fault in (
@@ -83,14 +87,14 @@
         ):
             with self.subTest(fault):
                 async with open_installation() as fleet:
-                    fleet.runners["desk-0"].faults.append(fault)
+                    fleet.endpoints["desk-0"].faults.append(fault)
                     fleet.put_endpoint("desk-1", "desk", State="draining")
                     await asyncio.sleep(0.05)
                     await self._check_retry_elsewhere(fleet)
 
     async def _check_retry_elsewhere(self, fleet):
         call = asyncio.create_task(fleet.call("/read/1", method="GET"))
-        await wait_until(lambda: fleet.arrivals)
+        await wait_until(lambda: fleet.received_requests)
         fleet.put_endpoint("desk-1", "desk")
         status, body, _ = await call
         if status == 200:
@@ -98,10 +102,10 @@
 
     async def test_endpoint_with_another_id_does_not_run_the_request(self):
         async with open_installation(plain_services=1) as fleet:
-            fleet.runners["desk-0"].id = "restarted"
+            fleet.endpoints["desk-0"].id = "restarted"
             status, _, _ = await fleet.call("/book/1")
         self.assertEqual(status, 503)
-        self.assertFalse(fleet.arrivals[0].ran)
+        self.assertFalse(fleet.received_requests[0].ran)
 
     async def test_too_large_body_and_headers(self):
         limits = {"MaxBodyBytes": 100, "MaxHeaderBytes": 400}
@@ -121,8 +125,8 @@
         config = make_config()
         config["Routes"][2]["TimeoutMs"] = 300
         async with open_installation(initial_config=config) as fleet:
-            for runner in fleet.runners.values():
-                runner.faults.append(Fault.NO_RESPONSE)
+            for endpoint in fleet.endpoints.values():
+                endpoint.faults.append(Fault.NO_RESPONSE)
             started = asyncio.get_running_loop().time()
             status, _, _ = await fleet.call("/book/1")
             took_s = asyncio.get_running_loop().time() - started
@@ -131,15 +135,15 @@
 
     async def test_request_that_crashes_endpoints_is_refused(self):
         async with open_installation(plain_services=4) as fleet:
-            for runner in fleet.runners.values():
-                runner.faults.extend([Fault.DISCONNECT] * 9)
+            for endpoint in fleet.endpoints.values():
+                endpoint.faults.extend([Fault.DISCONNECT] * 9)
             answers = [await fleet.call("/book/7") for _ in range(6)]
             other_answer = await fleet.call("/book/8", body=b"another")
         statuses = [status for status, _, _ in answers]
         self.assertEqual(statuses[:3], [502, 502, 502])
         self.assertEqual(statuses[-1], 503)
         self.assertNotIn("retry-after", answers[-1][2])
-        self.assertLessEqual(len(fleet.arrivals), 7)
+        self.assertLessEqual(len(fleet.received_requests), 7)
         # another request is still attempted
         self.assertEqual(other_answer[0], 502)
 
@@ -154,25 +158,27 @@
     async def test_stream_is_resumed_elsewhere_after_a_partial_event(self):
         async with open_installation() as fleet:
             for name in ("engine-0", "engine-1"):
-                fleet.runners[name].faults.append(Fault.DISCONNECT_MID_EVENT)
+                fleet.endpoints[name].faults.append(Fault.DISCONNECT_MID_EVENT)
             # only engine-0 disconnects, and only it is open at first
-            fleet.runners["engine-1"].faults.clear()
+            fleet.endpoints["engine-1"].faults.clear()
             fleet.put_endpoint("engine-1", "engines", State="draining")
             await asyncio.sleep(0.05)
             call = asyncio.create_task(fleet.call("/chat/1", tokens=SHORT))
             await wait_until(
-                lambda: fleet.runners["engine-0"].received_requests
+                lambda: fleet.endpoints["engine-0"].received_requests
             )
             fleet.put_endpoint("engine-1", "engines")
             status, body, _ = await call
         self.assertEqual(status, 200)
         self.assertEqual(_event_ids(body), [1, 2, 3, 4, 5])
-        resumed = fleet.runners["engine-1"].received_requests[0].headers
+        resumed = fleet.endpoints["engine-1"].received_requests[0].headers
         self.assertEqual(resumed["last-event-id"], "1")
 
     async def test_broken_stream_without_another_engine_is_aborted(self):
         async with open_installation(engines=1) as fleet:
-            fleet.runners["engine-0"].faults.append(Fault.DISCONNECT_MID_EVENT)
+            fleet.endpoints["engine-0"].faults.append(
+                Fault.DISCONNECT_MID_EVENT
+            )
             with self.assertRaises(aiohttp.ClientError):
                 await fleet.call("/chat/1", tokens=SHORT)
 
@@ -185,33 +191,33 @@
 
     async def test_engine_stops_when_the_caller_disconnects(self):
         async with open_installation(engines=1) as fleet:
-            runner = fleet.runners["engine-0"]
-            runner.event_count, runner.event_interval_s = 200, 0.02
+            endpoint = fleet.endpoints["engine-0"]
+            endpoint.event_count, endpoint.event_interval_s = 200, 0.02
             call = asyncio.create_task(fleet.call("/chat/1", tokens=SHORT))
-            await wait_until(lambda: runner.received_requests)
+            await wait_until(lambda: endpoint.received_requests)
             await asyncio.sleep(0.05)
             call.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await call
-            await wait_until(lambda: runner.client_disconnects, 0.5)
+            await wait_until(lambda: endpoint.client_disconnects, 0.5)
 
     async def test_memory_of_a_long_prompt_is_reserved_and_released(self):
         async with open_installation(engines=3) as fleet:
             status, _, _ = await fleet.call("/chat/1", tokens="80000,50")
-            helpers = fleet.arrivals[0].headers["x-helpers"]
-            engines = list(fleet.runners.values())
+            helpers = fleet.received_requests[0].headers["x-helpers"]
+            engines = list(fleet.endpoints.values())
             await wait_until(lambda: not any(r.reservations for r in engines))
         self.assertEqual(status, 200)
         self.assertIn("/entry-0-", helpers)
 
     async def test_refused_memory_reservation_fails_the_request(self):
         async with open_installation(engines=2) as fleet:
-            for runner in fleet.runners.values():
-                runner.capacity_tokens = 10
+            for endpoint in fleet.endpoints.values():
+                endpoint.capacity_tokens = 10
             status, _, headers = await fleet.call("/chat/1", tokens="80000,50")
         self.assertEqual(status, 503)
         self.assertIn("retry-after", headers)
-        self.assertEqual(fleet.arrivals, [])
+        self.assertEqual(fleet.received_requests, [])
 
     async def test_prompt_larger_than_all_memory_is_refused_at_once(self):
         async with open_installation(engines=2) as fleet:
--- a/tests/entry/test_state_propagation.py
+++ b/tests/entry/test_state_propagation.py
@@ -63,7 +63,7 @@
             installation = fleet.daemons[0].installation
             await wait_until(lambda: not open_desk_endpoints(installation))
             self.assertEqual((await fleet.call("/book/1"))[0], 503)
-            self.assertEqual(fleet.arrivals, [])
+            self.assertEqual(fleet.received_requests, [])
 
     async def test_invalid_entries_are_ignored(self):
         async with open_installation() as fleet:
@@ -94,9 +94,9 @@
                     len(d.gossip.live_peers()) == 2 for d in fleet.daemons
                 )
             )
-            runner = fleet.runners["engine-0"]
+            endpoint = fleet.endpoints["engine-0"]
             fleet.put_endpoint("engine-1", "engines", State="draining")
-            runner.event_interval_s = 0.1
+            endpoint.event_interval_s = 0.1
             call = asyncio.create_task(fleet.call("/chat/1", tokens="900,50"))
             await wait_until(
                 lambda: all(
--- a/tests/experiments/test_checker.py
+++ b/tests/experiments/test_checker.py
@@ -17,13 +17,13 @@
 from auburnswitch.standins.history import History, HistoryKind, HistoryRecord
 
 
-def call(name="call-1", **values):
+def make_call(name="call-1", **values):
     outcome = values.pop("outcome", CallOutcome(result="ok", text="ab"))
     defaults = {"deadline_s": 10, "started_at": 0, "daemon": "entry-0"}
     return CallRecord(id=name, outcome=outcome, **defaults | values)
 
 
-def history(*records):
+def make_history(*records):
     run_history = History()
     for time_s, actor, kind, fields in records:
         record = HistoryRecord(
@@ -33,7 +33,7 @@
     return run_history
 
 
-def plain_run(name, time_s=1.0):
+def plain_run_record(name, time_s=1.0):
     return (time_s, "b", HistoryKind.PLAIN_RUN, {"request_id": f"{name}.1f"})
 
 
@@ -43,33 +43,35 @@
 
 class CheckerTest(unittest.TestCase):
     def violated_invariants(self, records=(), calls=(), **values):
-        run = RunHistory(history=history(*records), calls=list(calls), **values)
+        run = RunHistory(
+            history=make_history(*records), calls=list(calls), **values
+        )
         return [violation.invariant for violation in check_run(run)]
 
     def test_history_without_violations(self):
-        booking = call("call-2", idempotent=False, key="k")
+        booking = make_call("call-2", idempotent=False, key="k")
         records = [
-            plain_run("call-2"),
+            plain_run_record("call-2"),
             memory_record("x.1"),
             memory_record("x.1", HistoryKind.MEMORY_FREED),
         ]
-        calls = [call(expected="ab"), booking]
+        calls = [make_call(expected="ab"), booking]
         self.assertEqual(self.violated_invariants(records, calls), [])
 
     def test_second_run_of_a_key(self):
         calls = [
-            call(name, idempotent=False, key="k")
+            make_call(name, idempotent=False, key="k")
             for name in ("call-1", "call-2")
         ]
-        records = [plain_run("call-1"), plain_run("call-2")]
+        records = [plain_run_record("call-1"), plain_run_record("call-2")]
         self.assertEqual(
             self.violated_invariants(records, calls),
             [RunInvariant.AT_MOST_ONCE],
         )
 
     def test_second_run_without_a_key(self):
-        records = [plain_run("call-1"), plain_run("call-1")]
-        calls = [call(idempotent=False)]
+        records = [plain_run_record("call-1"), plain_run_record("call-1")]
+        calls = [make_call(idempotent=False)]
         self.assertEqual(
             self.violated_invariants(records, calls),
             [RunInvariant.AT_MOST_ONCE],
@@ -78,12 +80,12 @@
     def test_partial_or_foreign_answer(self):
         for text in ("a", "abb", "xy"):
             outcome = CallOutcome(result="ok", text=text)
-            calls = [call(expected="ab", outcome=outcome)]
+            calls = [make_call(expected="ab", outcome=outcome)]
             self.assertEqual(
                 self.violated_invariants((), calls), [RunInvariant.WHOLE_ANSWER]
             )
         outcome = CallOutcome(result="stream_broken", text="x")
-        calls = [call(expected="ab", outcome=outcome)]
+        calls = [make_call(expected="ab", outcome=outcome)]
         self.assertEqual(
             self.violated_invariants((), calls), [RunInvariant.WHOLE_ANSWER]
         )
@@ -91,7 +93,7 @@
     def test_refused_as_not_run_but_ran(self):
         outcome = CallOutcome(result="queue_full", ran="no")
         invariants = self.violated_invariants(
-            [plain_run("call-1")], [call(outcome=outcome)]
+            [plain_run_record("call-1")], [make_call(outcome=outcome)]
         )
         self.assertEqual(invariants, [RunInvariant.NOT_RUN])
 
@@ -107,7 +109,7 @@
         ]
         for outcome, invariant in cases:
             self.assertEqual(
-                self.violated_invariants((), [call(outcome=outcome)]),
+                self.violated_invariants((), [make_call(outcome=outcome)]),
                 [invariant],
             )
         for outage, excused in (
@@ -117,7 +119,7 @@
             (DaemonOutage(daemon="entry-0", began_at=0, killed=False), False),
         ):
             invariants = self.violated_invariants(
-                (), [call(outcome=broken)], daemon_outages=[outage]
+                (), [make_call(outcome=broken)], daemon_outages=[outage]
             )
             self.assertEqual(
                 invariants, [] if excused else [RunInvariant.ANSWERED]
@@ -132,7 +134,7 @@
             (14, [RunInvariant.CLOSED]),
             (51, []),
         ):
-            records = [plain_run("call-9", time_s)]
+            records = [plain_run_record("call-9", time_s)]
             invariants = self.violated_invariants(
                 records, unschedulable_periods=[period]
             )
@@ -143,7 +145,7 @@
             endpoint="b", accepted_at=10, schedulable_at=50
         )
         for arrived_s, expected in ((12, []), (14, [RunInvariant.CLOSED])):
-            record = plain_run("call-9", 20)
+            record = plain_run_record("call-9", 20)
             record[3]["arrived_s"] = arrived_s
             invariants = self.violated_invariants(
                 [record], unschedulable_periods=[period]
@@ -165,7 +167,7 @@
             ([cold, *first], []),
             ([cold, *first, *second], [RunInvariant.COLD_BOUND]),
             ([cold, *second, *third], []),
-            # the first request began before the cold turn
+            # the first request began before the engine turned cold
             ([first[0], cold, first[1], *second], []),
         ):
             self.assertEqual(
--- a/tests/experiments/test_freezable_loop.py
+++ b/tests/experiments/test_freezable_loop.py
@@ -21,8 +21,11 @@
 
 async def is_healthy(session: aiohttp.ClientSession, url: str) -> bool:
     try:
-        async with asyncio.timeout(1), session.get(url + "/healthz") as reply:
-            return reply.status == 200
+        async with (
+            asyncio.timeout(1),
+            session.get(url + "/healthz") as response,
+        ):
+            return response.status == 200
     except TimeoutError:
         return False
 
@@ -33,10 +36,10 @@
     def connection_made(self, transport):
         self.transport = transport
         loop = asyncio.get_running_loop()
-        self.idle = loop.call_later(IDLE_S, transport.close)
+        self.idle_timer = loop.call_later(IDLE_S, transport.close)
 
     def data_received(self, data):
-        self.idle.cancel()
+        self.idle_timer.cancel()
         self.transport.write(data)
 
 
--- a/tests/experiments/test_placement.py
+++ b/tests/experiments/test_placement.py
@@ -23,7 +23,7 @@
 CAPACITY_TOKENS_PER_S = 400_000
 
 
-def arrivals(seed, load):
+def make_arrivals(seed, load):
     return generate_arrivals(
         seed=seed,
         load=load,
@@ -33,7 +33,7 @@
     )
 
 
-def summary(policy, shared, short_s, long_s):
+def make_summary(policy, shared, short_s, long_s):
     lengths = {
         name: LengthSummary(p50_s=p95_s, p95_s=p95_s, p99_s=p95_s, outcomes={})
         for name, p95_s in (("short", short_s), ("long", long_s))
@@ -45,7 +45,7 @@
     @settings(derandomize=True, deadline=None, max_examples=20)
     @given(st.integers(), st.sampled_from([0.5, 0.9]))
     def test_offered_load_and_mix(self, seed, load):
-        drawn = arrivals(seed, load)
+        drawn = make_arrivals(seed, load)
         tokens = sum(arrival.tokens for arrival in drawn)
         self.assertAlmostEqual(
             tokens / (CAPACITY_TOKENS_PER_S * 300), load, delta=0.01
@@ -64,8 +64,8 @@
                 self.assertLessEqual(arrival.tokens, length_share.max_tokens)
 
     def test_same_seed_same_arrivals(self):
-        self.assertEqual(arrivals(7, 0.5), arrivals(7, 0.5))
-        self.assertNotEqual(arrivals(7, 0.5), arrivals(8, 0.5))
+        self.assertEqual(make_arrivals(7, 0.5), make_arrivals(7, 0.5))
+        self.assertNotEqual(make_arrivals(7, 0.5), make_arrivals(8, 0.5))
 
 
 class ReportTest(unittest.TestCase):
@@ -78,11 +78,11 @@
 
     def test_comparison_covers_every_target(self):
         runs = [
-            summary("owner", True, 0.6, 30),
-            summary("owner", False, 0.4, 30),
-            summary("two-choices", True, 1.2, 60),
-            summary("two-choices", False, 0.8, 60),
-            summary("oracle", True, 0.5, 25),
+            make_summary("owner", True, 0.6, 30),
+            make_summary("owner", False, 0.4, 30),
+            make_summary("two-choices", True, 1.2, 60),
+            make_summary("two-choices", False, 0.8, 60),
+            make_summary("oracle", True, 0.5, 25),
         ]
         text = "\n".join(comparison_lines(runs))
         self.assertIn("owner: slowdown of short requests p50 1.50", text)
--- a/tests/proof/test_processes.py
+++ b/tests/proof/test_processes.py
@@ -20,7 +20,7 @@
 )
 
 TEST_TIMEOUT_S = 90
-MEMORY_FREED_TIMEOUT_S = 30  # longest time a caller waits at a service counter
+RECOVERY_TIMEOUT_S = 30  # longest time a caller waits at a service counter
 PROMPT = "hello " * 100
 ANSWER_TOKENS = 120  # streamed in about three seconds
 SHORT_ANSWER_TOKENS = 8
@@ -102,11 +102,13 @@
     async def condition():
         used = 0
         for name in ("engine-1", "engine-2"):
-            async with fleet.session.get(fleet.urls[name] + "/load") as reply:
-                used += (await reply.json())["memory_used_tokens"]
+            async with fleet.session.get(
+                fleet.urls[name] + "/load"
+            ) as response:
+                used += (await response.json())["memory_used_tokens"]
         return used == 0
 
-    async with asyncio.timeout(MEMORY_FREED_TIMEOUT_S):
+    async with asyncio.timeout(RECOVERY_TIMEOUT_S):
         await wait_until(condition)
 
 
@@ -173,30 +175,30 @@
 
     async def test_graceful_stop_under_load(self):
         async with open_fleet() as fleet:
-            ending = fleet.daemons["entry-0"]
+            stopping = fleet.daemons["entry-0"]
             streams = [
-                asyncio.create_task(complete(fleet, ending)) for _ in range(4)
+                asyncio.create_task(complete(fleet, stopping)) for _ in range(4)
             ]
             await wait_running(fleet)
-            booking = asyncio.create_task(book(fleet, ending, "key-1"))
+            booking = asyncio.create_task(book(fleet, stopping, "key-1"))
             pattern = '"path":"/bookings"'
             await wait_until(lambda: count_history(fleet, "plain-1", pattern))
-            ending.process.send_signal(signal.SIGTERM)
+            stopping.process.send_signal(signal.SIGTERM)
 
             async def is_not_ready():
-                url = ending.operators + "/readyz"
-                async with fleet.session.get(url) as reply:
-                    return reply.status == 503
+                url = stopping.operators + "/readyz"
+                async with fleet.session.get(url) as response:
+                    return response.status == 503
 
             await wait_until(is_not_ready)
-            late_outcome = await complete(fleet, ending, SHORT_ANSWER_TOKENS)
+            late_outcome = await complete(fleet, stopping, SHORT_ANSWER_TOKENS)
             self.assertEqual(
                 (late_outcome.result, late_outcome.ran), ("shutting_down", "no")
             )
             self.assertLess(await booking, 300)
             for stream in streams:
                 self.check_complete_answer(await stream)
-            self.assertEqual(await ending.process.wait(), 0)
+            self.assertEqual(await stopping.process.wait(), 0)
 
     async def test_frozen_and_resumed_platform(self):
         async with open_fleet() as fleet:
@@ -220,7 +222,7 @@
             async def booking_succeeds():
                 return await book(fleet, daemons[1], "key-2") < 300
 
-            async with asyncio.timeout(MEMORY_FREED_TIMEOUT_S):
+            async with asyncio.timeout(RECOVERY_TIMEOUT_S):
                 await wait_until(booking_succeeds)
             self.assertEqual(await count_history(fleet, "plain-1", pattern), 1)
 
--- a/tools/measure_overhead.py
+++ b/tools/measure_overhead.py
@@ -131,7 +131,7 @@
     """Returns the CPU time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text("utf-8").rsplit(")", 1)[1]
     user, system = fields.split()[11:13]
-    return (int(user) + int(system)) / 100
+    return (int(user) + int(system)) / 100  # clock ticks of 10 ms
 
 
 def resident_mb(pid: int) -> float:
--- a/tools/measure_state.py
+++ b/tools/measure_state.py
@@ -27,8 +27,12 @@
 JOIN_REPEATS: Final = 20
 
 
-def make_changes(objects: int) -> list[Change]:
-    """Returns changes with the mix of object kinds of the two-year size."""
+def make_changes(object_count: int) -> list[Change]:
+    """Returns changes with the mix of object kinds of the two-year size.
+
+    Each 22 objects have one service, six teams and fifteen endpoints; zones
+    replace the first five objects.
+    """
     changes = [
         Change(
             kind=ObjectKind.AVAILABILITY_ZONE,
@@ -37,7 +41,7 @@
         )
         for number in range(5)
     ]
-    while len(changes) < objects:
+    while len(changes) < object_count:
         number = len(changes)
         changes.append(_make_change(number))
     return changes
@@ -67,12 +71,12 @@
     )
 
 
-def measure_state(objects: int) -> dict[str, float]:
-    """Measures a configuration with one number of objects."""
-    changes = make_changes(objects)
+def measure_state(object_count: int) -> dict[str, float]:
+    """Measures a configuration with a given number of objects."""
+    changes = make_changes(object_count)
     tracemalloc.start()
     state = ConfigState()
-    state.join_ticket(Ticket(number=1, changes=make_changes(objects)))
+    state.join_ticket(Ticket(number=1, changes=make_changes(object_count)))
     memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     started_at = time.perf_counter()
@@ -81,7 +85,7 @@
     join_s = (time.perf_counter() - started_at) / JOIN_REPEATS
     snapshot = json.dumps(to_json(state.snapshot()))
     return {
-        "objects": objects,
+        "objects": object_count,
         "memory_kb": round(memory_bytes / 1024),
         "join_ms": round(1000 * join_s, 2),
         "snapshot_kb": round(len(snapshot) / 1024),
