--- a/src/auburnswitch/experiments/checker.py
+++ b/src/auburnswitch/experiments/checker.py
@@ -138,17 +138,17 @@
 
 
 def _check_at_most_once(run: RunHistory) -> Iterator[Violation]:
-    by_key: collections.Counter[str] = collections.Counter()
-    by_call: collections.Counter[str] = collections.Counter()
+    runs_by_key: collections.Counter[str] = collections.Counter()
+    runs_by_call: collections.Counter[str] = collections.Counter()
     calls = {call.id: call for call in run.calls if not call.idempotent}
     for record in run.history.select(HistoryKind.PLAIN_RUN):
         call = calls.get(_caller_request_id(record))
         if call is None:
             continue
-        by_call[call.id] += 1
+        runs_by_call[call.id] += 1
         if call.key:
-            by_key[call.key] += 1
-    for name, count in [*by_key.items(), *by_call.items()]:
+            runs_by_key[call.key] += 1
+    for name, count in [*runs_by_key.items(), *runs_by_call.items()]:
         if count > 1:
             detail = f"{name} ran {count} times"
             yield Violation(invariant=RunInvariant.AT_MOST_ONCE, detail=detail)
@@ -325,18 +325,18 @@
 
 
 def _check_configurations(run: RunHistory) -> Iterator[Violation]:
-    newest: dict[tuple[str, str], int] = {}
+    newest_numbers: dict[tuple[str, str], int] = {}
     for sample in run.samples:
         for name, number in sample.ticket_numbers.items():
             key = (sample.member_id, name)
-            if number < newest.get(key, 0):
+            if number < newest_numbers.get(key, 0):
                 detail = (
                     f"{sample.member_id} reverted {name} to ticket {number}"
                 )
                 yield Violation(
                     invariant=RunInvariant.STATE_MONOTONIC, detail=detail
                 )
-            newest[key] = number
+            newest_numbers[key] = number
 
 
 __all__ = [
--- a/src/auburnswitch/experiments/claims_cost.py
+++ b/src/auburnswitch/experiments/claims_cost.py
@@ -55,7 +55,7 @@
 
 
 class ClaimBackend(Protocol):
-    """The interface that both kinds of claim storage implement."""
+    """The interface that both claim backends implement."""
 
     async def claim(
         self, key_hash: str, request_hash: str, *, time_left_s: float
@@ -123,13 +123,13 @@
         self.rng = random.Random(1)
 
     async def run(
-        self, backends: list[ClaimBackend], rate: float, seconds: float
+        self, backends: list[ClaimBackend], rate_per_s: float, seconds: float
     ) -> float:
         """Sends bookings; returns the time until the last ended, in seconds."""
         started = time.perf_counter()
         async with asyncio.TaskGroup() as group:
             at_s = 0.0
-            while (at_s := at_s + self.rng.expovariate(rate)) < seconds:
+            while (at_s := at_s + self.rng.expovariate(rate_per_s)) < seconds:
                 wait_s = started + at_s - time.perf_counter()
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
@@ -208,11 +208,11 @@
         store.forward = forward
 
 
-async def measure(rate: float, seconds: float, *, grouped: bool) -> str:
-    """Measures one claim store at one rate; returns a table row.
+async def measure(rate_per_s: float, seconds: float, *, grouped: bool) -> str:
+    """Measures one claim backend at one rate; returns a table row.
 
     Args:
-        rate: Offered bookings per second.
+        rate_per_s: Offered bookings per second.
         seconds: Time over which bookings arrive, in seconds.
         grouped: Whether to commit claims in groups rather than to write
             one object per claim.
@@ -223,14 +223,14 @@
     ):
         platform.delay_s = STORE_DELAY_S
         load = BookingLoad()
-        took_s = await load.run(backends, rate, seconds)
+        took_s = await load.run(backends, rate_per_s, seconds)
         claimed = len(load.latencies_s)
         latencies_s = sorted(load.latencies_s) or [0.0]
         sizes_bytes = [
             len(str(stored.value)) for stored in platform.store.objects.values()
         ]
         return (
-            f"{'grouped' if grouped else 'one each':8}  {rate:9}  "
+            f"{'grouped' if grouped else 'one each':8}  {rate_per_s:9}  "
             f"{claimed / took_s:9.0f}  {load.refused:7}  "
             f"{platform.calls['put'] / max(1, claimed):12.2f}  "
             f"{platform.statuses[412]:9}  "
@@ -241,11 +241,13 @@
 
 
 async def run_all(seconds: float) -> None:
-    """Prints a table row for each rate and claim store."""
+    """Prints a table row for each rate and claim backend."""
     print(_TABLE_HEADER)
-    for rate in RATES_PER_S:
+    for rate_per_s in RATES_PER_S:
         for grouped in (False, True):
-            print(await measure(rate, seconds, grouped=grouped), flush=True)
+            print(
+                await measure(rate_per_s, seconds, grouped=grouped), flush=True
+            )
 
 
 def main(seconds: float = 4.0) -> None:
--- a/src/auburnswitch/experiments/entry_demo.py
+++ b/src/auburnswitch/experiments/entry_demo.py
@@ -55,7 +55,7 @@
     tokens: int,
     show: Callable[[str], None],
 ) -> None:
-    before = len(fleet.received_requests)
+    count_before = len(fleet.received_requests)
     request = StreamRequest(
         path="/chat/1",
         prompt_tokens=tokens,
@@ -74,7 +74,7 @@
             f" ran: {outcome.ran}, {retry_note}"
         )
         return
-    send_count = len(fleet.received_requests) - before
+    send_count = len(fleet.received_requests) - count_before
     show(
         f"{label}: {outcome.result}, first event after"
         f" {outcome.first_token_s:.2f} s, {outcome.tokens} events,"
--- a/src/auburnswitch/experiments/placement.py
+++ b/src/auburnswitch/experiments/placement.py
@@ -79,7 +79,8 @@
 
 def run_policy(options: RunOptions) -> RunSummary:
     """Runs one policy in virtual time and returns its summary."""
-    # imported here: a development dependency that daemons and tools lack
+    # imported here because it needs a development dependency, which daemons
+    # and tools lack
     from auburnswitch.experiments.virtual_time import run_virtual
 
     started_at = time.perf_counter()
@@ -116,7 +117,8 @@
 
 def fleet_options(policy: str) -> FleetOptions:
     """Returns the fleet options of the experiment for a policy."""
-    # imported here: a development dependency that daemons and tools lack
+    # imported here because it needs a development dependency, which daemons
+    # and tools lack
     from auburnswitch.experiments.virtual_time import SimulatedConnector
 
     def customize_settings(settings: Settings) -> None:
--- a/src/auburnswitch/experiments/report.py
+++ b/src/auburnswitch/experiments/report.py
@@ -162,7 +162,7 @@
 def table_lines(runs: list[RunSummary]) -> list[str]:
     """Returns a Markdown table of time to first token and outcomes."""
     lines = [
-        "| Load | Policy | Long ones | Length | p50, s | p95, s | p99, s"
+        "| Load | Policy | Long prompts | Length | p50, s | p95, s | p99, s"
         " | Outcomes |",
         "|---|---|---|---|---|---|---|---|",
     ]
--- a/src/auburnswitch/experiments/zone_move.py
+++ b/src/auburnswitch/experiments/zone_move.py
@@ -72,7 +72,8 @@
 
 def run_zone_move(policy: str, load: float, seed: int) -> ZoneMoveSummary:
     """Runs the scenario in virtual time and returns its summary."""
-    # imported here: a development dependency that daemons and tools lack
+    # imported here because it needs a development dependency, which daemons
+    # and tools lack
     from auburnswitch.experiments.virtual_time import run_virtual
 
     started_at = time.perf_counter()
--- a/src/auburnswitch/soak/fault_injector.py
+++ b/src/auburnswitch/soak/fault_injector.py
@@ -74,7 +74,7 @@
     async def _wait_fault_duration(self) -> None:
         await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_RANGE_S))
 
-    def _claim_daemon(self) -> DaemonProcess | None:
+    def _select_daemon(self) -> DaemonProcess | None:
         """Returns a daemon without a signal fault and marks it as faulty.
 
         Returns None if every daemon has a signal fault.
@@ -91,7 +91,7 @@
         return daemon
 
     async def _kill(self) -> None:
-        if daemon := self._claim_daemon():
+        if daemon := self._select_daemon():
             daemon.send_signal(signal.SIGKILL)
             await daemon.wait_for_exit()
             await self._wait_fault_duration()
@@ -99,21 +99,21 @@
             self._faulted_daemons.discard(daemon.name)
 
     async def _pause(self) -> None:
-        if daemon := self._claim_daemon():
+        if daemon := self._select_daemon():
             daemon.send_signal(signal.SIGSTOP)
             await self._wait_fault_duration()
             daemon.send_signal(signal.SIGCONT)
             self._faulted_daemons.discard(daemon.name)
 
     async def _terminate(self) -> None:
-        if daemon := self._claim_daemon():
+        if daemon := self._select_daemon():
             daemon.send_signal(signal.SIGTERM)
             await daemon.wait_for_exit()
             await daemon.start()
             self._faulted_daemons.discard(daemon.name)
 
     async def _reload(self) -> None:
-        if daemon := self._claim_daemon():
+        if daemon := self._select_daemon():
             daemon.send_signal(signal.SIGHUP)
             self._faulted_daemons.discard(daemon.name)
 
--- a/src/auburnswitch/standins/endpoint.py
+++ b/src/auburnswitch/standins/endpoint.py
@@ -116,11 +116,11 @@
             return
         self.running += 1
         try:
-            await self._run(headers, fault, receive, send)
+            await self._respond(headers, fault, receive, send)
         finally:
             self.running -= 1
 
-    async def _run(
+    async def _respond(
         self,
         headers: dict[str, str],
         fault: Fault,
@@ -154,13 +154,15 @@
                 await _send_response(send, 200, signed_headers[:1], b"unsigned")
             case _ if "x-token-counts" in headers:
                 first = int(headers.get("last-event-id", "0")) + 1
-                await self._stream(first, fault, signed_headers, receive, send)
+                await self._send_stream(
+                    first, fault, signed_headers, receive, send
+                )
             case _:
                 await _send_response(
                     send, 200, signed_headers, b"answer of " + request_id
                 )
 
-    async def _stream(
+    async def _send_stream(
         self,
         first: int,
         fault: Fault,
--- a/src/auburnswitch/standins/engine_api.py
+++ b/src/auburnswitch/standins/engine_api.py
@@ -86,47 +86,51 @@
         try:
             body = await read_json_object(request)
             parsed = parse_request(body, chat=chat)
-            ids = read_request_ids(request, self._default_id())
+            ids = read_request_ids(request, self._make_default_id())
         except ValueError as error:
-            return _error(400, str(error))
+            return _error_response(400, str(error))
         continued_tokens = count_tokens(parsed.continue_text)
         work = Completion(
             max_tokens=parsed.max_tokens,
             first_token=continued_tokens,
             chat=chat,
         )
-        rejection = await self._rejection(
+        rejection = await self._find_rejection(
             parsed, work.max_tokens + continued_tokens
         )
         if rejection is None and self.engine.job_table.has_attempt(ids):
-            rejection = _error(409, "this attempt already exists")
+            rejection = _error_response(409, "this attempt already exists")
         if rejection is not None:
             return rejection
         job = self._make_job(parsed, ids, work)
         self.engine.submit(job)
         if parsed.stream:
-            return self._stream(job, work, first=0)
+            return self._stream_response(job, work, first=0)
         await job.wait_until_inactive()
         return JSONResponse(completion_response(job, work))
 
-    def _default_id(self) -> str:
+    def _make_default_id(self) -> str:
         return (
             f"{self.engine.boot_id}-"
             f"{self.engine.job_table.next_arrival_index()}"
         )
 
-    async def _rejection(
+    async def _find_rejection(
         self, parsed: EngineRequest, extra_tokens: int
     ) -> Response | None:
         loaded = self.engine.order_state.model
         if loaded and parsed.model and parsed.model != loaded:
-            return _error(404, f"model {parsed.model} is not loaded")
+            return _error_response(404, f"model {parsed.model} is not loaded")
         needed_tokens = count_tokens(parsed.prompt) + extra_tokens
         if needed_tokens > self.engine.options.memory_tokens:
-            return _error(400, "the request exceeds the engine's memory")
+            return _error_response(
+                400, "the request exceeds the engine's memory"
+            )
         for kv_ref in parsed.kv_chain:
             if not await self._kv_exists(kv_ref):
-                return _error(409, f"KV cache {kv_ref.kv_id} does not exist")
+                return _error_response(
+                    409, f"KV cache {kv_ref.kv_id} does not exist"
+                )
         return None
 
     async def _kv_exists(self, kv_ref: KvCacheRef) -> bool:
@@ -161,7 +165,9 @@
             crashes_engine=CRASH_MARKER in parsed.prompt,
         )
 
-    def _stream(self, job: Job, work: Completion, first: int) -> Response:
+    def _stream_response(
+        self, job: Job, work: Completion, first: int
+    ) -> Response:
         return SseResponse(
             job=job,
             work=work,
@@ -194,21 +200,21 @@
         """Streams an answer again, starting at a sequence number."""
         job = self._find_stream(request)
         if job is None:
-            return _error(404, "no such stream")
+            return _error_response(404, "no such stream")
         try:
             first = int(request.query_params.get("from", "0"))
         except ValueError as error:
-            return _error(400, str(error))
+            return _error_response(400, str(error))
         match job.work:
             case Completion() as work if first >= 0:
-                return self._stream(job, work, first)
-        return _error(400, "cannot resume from this sequence number")
+                return self._stream_response(job, work, first)
+        return _error_response(400, "cannot resume from this sequence number")
 
     async def cancel_stream(self, request: Request) -> Response:
         """Cancels a stream."""
         job = self._find_stream(request)
         if job is None:
-            return _error(404, "no such stream")
+            return _error_response(404, "no such stream")
         self.engine.cancel(job)
         return JSONResponse({})
 
@@ -217,10 +223,12 @@
         try:
             body = await read_json_object(request)
             parsed = parse_request(body, chat=False)
-            ids = read_prefill_request_ids(request, body, self._default_id())
+            ids = read_prefill_request_ids(
+                request, body, self._make_default_id()
+            )
         except ValueError as error:
-            return _error(400, str(error))
-        rejection = await self._rejection(parsed, 0)
+            return _error_response(400, str(error))
+        rejection = await self._find_rejection(parsed, 0)
         if rejection is not None:
             return rejection
         tokens = count_tokens(parsed.prompt)
@@ -232,7 +240,7 @@
         self.engine.submit(job)
         await job.wait_until_inactive()
         if not job.kv_retained:
-            return _error(409, "the KV cache has been freed")
+            return _error_response(409, "the KV cache has been freed")
         return JSONResponse({"kv_id": kv_id, "tokens": tokens})
 
     async def list_kv(self, request: Request) -> Response:
@@ -253,7 +261,7 @@
         """Frees a KV cache."""
         job = self.engine.job_table.kv_caches.get(request.path_params["kv_id"])
         if job is None:
-            return _error(404, "no such KV cache")
+            return _error_response(404, "no such KV cache")
         self.engine.cancel(job)
         return JSONResponse({})
 
@@ -266,7 +274,7 @@
         try:
             since = int(request.query_params.get("since", "0"))
         except ValueError as error:
-            return _error(400, str(error))
+            return _error_response(400, str(error))
         events, next_sequence = self.engine.cache.feed.read(since)
         content = [event.to_json() for event in events]
         return JSONResponse({"events": content, "next": next_sequence})
@@ -276,7 +284,7 @@
         try:
             order = parse_order(await read_json_object(request))
         except ValueError as error:
-            return _error(400, str(error))
+            return _error_response(400, str(error))
         if not self.engine.apply_order(order):
             fencing_number = self.engine.order_state.fencing_number
             return JSONResponse({"fencing_number": fencing_number}, 409)
@@ -293,7 +301,7 @@
     return parsed.kv_chain[-1].digest
 
 
-def _error(status: int, text: str) -> Response:
+def _error_response(status: int, text: str) -> Response:
     return JSONResponse({"error": text}, status)
 
 
--- a/src/auburnswitch/standins/installation_store.py
+++ b/src/auburnswitch/standins/installation_store.py
@@ -117,12 +117,12 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _rejection(self) -> Response | None:
+    def _admit_call(self) -> Response | None:
         self.calls += 1
         return Response(status_code=_UNAVAILABLE) if self.unavailable else None
 
     async def _list_or_watch(self, request: Request) -> Response:
-        if rejection := self._rejection():
+        if rejection := self._admit_call():
             return rejection
         kind = request.path_params["kind"]
         query = request.query_params
@@ -167,7 +167,7 @@
         return JSONResponse({"events": changes, "AsOf": self.revision})
 
     async def _create(self, request: Request) -> Response:
-        if rejection := self._rejection():
+        if rejection := self._admit_call():
             return rejection
         kind = request.path_params["kind"]
         data = await request.json()
@@ -178,7 +178,7 @@
         return JSONResponse(self.objects[kind][name])
 
     async def _replace(self, request: Request) -> Response:
-        if rejection := self._rejection():
+        if rejection := self._admit_call():
             return rejection
         kind, name = request.path_params["kind"], request.path_params["name"]
         if name not in self.objects.get(kind, {}):
@@ -188,7 +188,7 @@
         return JSONResponse(self.objects[kind][name])
 
     async def _delete(self, request: Request) -> Response:
-        if rejection := self._rejection():
+        if rejection := self._admit_call():
             return rejection
         self.remove(request.path_params["kind"], request.path_params["name"])
         return Response(status_code=_OK)
--- a/src/auburnswitch/standins/platform_api.py
+++ b/src/auburnswitch/standins/platform_api.py
@@ -55,7 +55,7 @@
     async def get(self, request: Request) -> Response:
         """Returns one object."""
         platform = self.platform
-        rejection = await self._rejection("get", platform.read_limiter)
+        rejection = await self._admit_call("get", platform.read_limiter)
         if rejection is not None:
             return rejection
         found = platform.store.objects.get(request.path_params["key"])
@@ -66,7 +66,7 @@
     async def list_objects(self, request: Request) -> Response:
         """Lists the objects under a prefix."""
         platform = self.platform
-        rejection = await self._rejection("list", platform.read_limiter)
+        rejection = await self._admit_call("list", platform.read_limiter)
         if rejection is not None:
             return rejection
         prefix = request.query_params.get("prefix", "")
@@ -79,7 +79,7 @@
         """Writes an object."""
         platform = self.platform
         body = await request.body()
-        rejection = await self._rejection("put", platform.write_limiter)
+        rejection = await self._admit_call("put", platform.write_limiter)
         if rejection is not None:
             return rejection
         if len(body) > platform.max_value_bytes:
@@ -97,7 +97,7 @@
     async def delete(self, request: Request) -> Response:
         """Deletes an object."""
         platform = self.platform
-        rejection = await self._rejection("delete", platform.write_limiter)
+        rejection = await self._admit_call("delete", platform.write_limiter)
         if rejection is not None:
             return rejection
         key = request.path_params["key"]
@@ -113,7 +113,7 @@
 
     async def watch(self, request: Request) -> Response:
         """Waits for and returns the changes under a prefix after a revision."""
-        rejection = await self._rejection("watch", self.platform.read_limiter)
+        rejection = await self._admit_call("watch", self.platform.read_limiter)
         if rejection is not None:
             return rejection
         query = request.query_params
@@ -156,7 +156,7 @@
 
     async def list_instances(self, request: Request) -> Response:
         """Lists the instances as they were `lag_s` ago."""
-        rejection = await self._rejection(
+        rejection = await self._admit_call(
             "instances", self.platform.read_limiter
         )
         if rejection is not None:
@@ -164,7 +164,7 @@
         entries = [e.to_json() for e in self.platform.instances.read()]
         return self._response({"instances": entries})
 
-    async def _rejection(
+    async def _admit_call(
         self, kind: str, limiter: TokenBucket
     ) -> Response | None:
         platform = self.platform
--- a/tests/experiments/test_checker.py
+++ b/tests/experiments/test_checker.py
@@ -24,13 +24,13 @@
 
 
 def make_history(*records):
-    run_history = History()
+    event_history = History()
     for time_s, actor, kind, fields in records:
         record = HistoryRecord(
             time_s=time_s, actor=actor, kind=kind, fields=fields
         )
-        run_history.records.append(record)
-    return run_history
+        event_history.records.append(record)
+    return event_history
 
 
 def plain_run_record(name, time_s=1.0):
--- a/tests/proof/test_guarantees.py
+++ b/tests/proof/test_guarantees.py
@@ -28,7 +28,7 @@
 ZONES = ("daejeon-1", "daejeon-2")
 
 
-def zone_ticket(number: int, name: str) -> Ticket:
+def make_zone_ticket(number: int, name: str) -> Ticket:
     zone = AvailabilityZone(out=number % 2 == 1)
     change = Change(kind=ObjectKind.AVAILABILITY_ZONE, name=name, zone=zone)
     return Ticket(number=number, changes=[change])
@@ -68,10 +68,10 @@
     @given(st.permutations([(n, ZONES[n // 3]) for n in range(1, 6)]))
     def test_tickets_in_any_order_never_revert(self, tickets):
         state = ConfigState()
-        newest = dict.fromkeys(ZONES, 0)
+        newest_numbers = dict.fromkeys(ZONES, 0)
         for number, name in tickets:
-            state.join_ticket(zone_ticket(number, name))
-            newest[name] = max(newest[name], number)
-            for zone, expected in newest.items():
+            state.join_ticket(make_zone_ticket(number, name))
+            newest_numbers[name] = max(newest_numbers[name], number)
+            for zone, expected in newest_numbers.items():
                 entry = state.entries.get((ObjectKind.AVAILABILITY_ZONE, zone))
                 self.assertEqual(entry.number if entry else 0, expected)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -36,7 +36,7 @@
     )
 
 
-def stream_body(*ids: int) -> bytes:
+def make_stream_body(*ids: int) -> bytes:
     return b"".join(f"id: {n}\ndata: x\n\n".encode() for n in ids)
 
 
@@ -90,12 +90,12 @@
 
     def test_detects_wrong_responses(self):
         all_ids = range(1, STREAM_EVENTS + 1)
-        valid = make_record("/chat/1", 200, stream_body(*all_ids))
+        valid = make_record("/chat/1", 200, make_stream_body(*all_ids))
         self.assertEqual(find_response_problem(valid), "")
         for ids in ([1, 2], [*all_ids][:-1], [1, *all_ids], [*all_ids][1:]):
             self.assertTrue(
                 find_response_problem(
-                    make_record("/chat/1", 200, stream_body(*ids))
+                    make_record("/chat/1", 200, make_stream_body(*ids))
                 )
             )
         wrong_body = make_record("/read/1", 200, b"answer of r2")
--- a/tests/standins/engine_client.py
+++ b/tests/standins/engine_client.py
@@ -64,7 +64,7 @@
     return [json.loads(line.removeprefix("data: ")) for line in lines[:-1]]
 
 
-def joined_text(events: list[Any]) -> str:
+def join_text(events: list[Any]) -> str:
     """Returns the concatenated text of completion events."""
     return "".join(event["choices"][0]["text"] for event in events)
 
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -10,7 +10,7 @@
 from auburnswitch.standins.engine_options import EngineOptions
 from tests.standins.engine_client import (
     EngineClient,
-    joined_text,
+    join_text,
     open_client,
 )
 from tests.virtual_time import run_virtual
@@ -25,7 +25,7 @@
         status, events = run_virtual(run)
         self.assertEqual(status, 200)
         expected = answer_text(prompt_digest("hello"), 5)
-        self.assertEqual(joined_text(events), expected)
+        self.assertEqual(join_text(events), expected)
         self.assertEqual(
             [event["sequence"] for event in events], list(range(5))
         )
@@ -70,7 +70,7 @@
 
         _, events = run_virtual(run)
         expected = answer_text(prompt_digest("hello"), 4, first=3)
-        self.assertEqual(joined_text(events), expected)
+        self.assertEqual(join_text(events), expected)
         self.assertEqual(events[0]["sequence"], 0)
         self.assertEqual(events[-1]["usage"]["prompt_tokens"], 5)
 
@@ -138,7 +138,7 @@
 
 
 class TimingTest(unittest.TestCase):
-    async def finish_times(
+    async def measure_finish_times(
         self, client: EngineClient, requests: list[tuple[str, int, int]]
     ) -> list[float]:
         loop = asyncio.get_running_loop()
@@ -159,7 +159,7 @@
         async def run():
             async with open_client() as client:
                 requests = [("a", 40_000, 5), ("b", 2_000, 0)]
-                return await self.finish_times(client, requests)
+                return await self.measure_finish_times(client, requests)
 
         long_s, short_s = run_virtual(run)
         self.assertLess(short_s, 0.3)
@@ -169,7 +169,7 @@
         async def run():
             async with open_client(memory_tokens=30_000) as client:
                 requests = [("a", 20_000, 0), ("b", 20_000, 0), ("c", 100, 0)]
-                times = await self.finish_times(client, requests)
+                times = await self.measure_finish_times(client, requests)
                 return times, client.engine.batch.memory_used_tokens
 
         (first_s, second_s, third_s), memory_used = run_virtual(run)
