--- a/src/auburnswitch/standins/installation_store.py
+++ b/src/auburnswitch/standins/installation_store.py
@@ -94,7 +94,7 @@
         path = "/v1/objects/{kind}"
         return Starlette(
             routes=[
-                Route(path, self._get, methods=["GET"]),
+                Route(path, self._list_or_watch, methods=["GET"]),
                 Route(path, self._create, methods=["POST"]),
                 Route(path + "/{name}", self._replace, methods=["PUT"]),
                 Route(path + "/{name}", self._delete, methods=["DELETE"]),
@@ -117,12 +117,12 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _rejection(self) -> Response | None:
+    def _admit_call(self) -> Response | None:
         self.calls += 1
         return Response(status_code=_UNAVAILABLE) if self.unavailable else None
 
-    async def _get(self, request: Request) -> Response:
-        if rejection := self._rejection():
+    async def _list_or_watch(self, request: Request) -> Response:
+        if rejection := self._admit_call():
             return rejection
         kind = request.path_params["kind"]
         query = request.query_params
@@ -167,7 +167,7 @@
         return JSONResponse({"events": changes, "AsOf": self.revision})
 
     async def _create(self, request: Request) -> Response:
-        if rejection := self._rejection():
+        if rejection := self._admit_call():
             return rejection
         kind = request.path_params["kind"]
         data = await request.json()
@@ -178,7 +178,7 @@
         return JSONResponse(self.objects[kind][name])
 
     async def _replace(self, request: Request) -> Response:
-        if rejection := self._rejection():
+        if rejection := self._admit_call():
             return rejection
         kind, name = request.path_params["kind"], request.path_params["name"]
         if name not in self.objects.get(kind, {}):
@@ -188,7 +188,7 @@
         return JSONResponse(self.objects[kind][name])
 
     async def _delete(self, request: Request) -> Response:
-        if rejection := self._rejection():
+        if rejection := self._admit_call():
             return rejection
         self.remove(request.path_params["kind"], request.path_params["name"])
         return Response(status_code=_OK)
